--- a/internal/beacon/beacon.go
+++ b/internal/beacon/beacon.go
@@ -1,19 +1,21 @@
-// Package beacon tells the entries of a deployment which others are alive, by
-// datagrams.
+// Package beacon detects which entries of a deployment are alive, by heartbeats
+// sent in datagrams.
 //
-// The first two entries of each availability zone, by name, are its leaders. All
-// entries send a beacon to the leaders of their zone some times a second; leaders
-// send one to all entries of their zone, and to the leaders of the others. So an
-// entry sends and gets only a few datagrams, however many entries there are, and in
-// a deployment of small zones all hear of each other at first hand.
+// The first two live entries of each availability zone, by name, are its zone
+// leaders. Every entry sends heartbeats to the leaders of its zone several times a
+// second; leaders send them to all entries of their zone and to the leaders of the
+// other zones. The number of datagrams per entry therefore stays small in large
+// deployments, and in a deployment of small zones all heartbeats are received
+// directly.
 //
-// A beacon tells what its sender knows of each zone as a digest. A leader that gets
-// another digest than its own of its zone, or from an entry of its zone, answers
-// with the list of the entries there. Nothing is agreed on: each entry takes those
-// for leaders that it believes to be alive, and an entry counts as alive for a time
-// after it was heard, at first hand or by word of a leader. One that stops as
-// planned says so in its last beacons. What is told of an earlier process of an
-// instance than the latest, or is older than what is known, is left out.
+// A heartbeat carries a digest of its sender's view of each zone. If the digests
+// differ, a leader replies with the list of the entries it knows: those of its own
+// zone to any sender, those of all zones to a sender in its zone. There is no
+// consensus: each entry selects the leaders from its own view. An entry counts as
+// alive for a limited time after its latest heartbeat, received directly or relayed
+// by a leader. An entry in graceful shutdown reports itself as not ready. Reports
+// about an earlier process of an instance than the latest, or older than the known
+// state, are dropped.
 //
 // # Usage
 //
@@ -43,29 +45,31 @@
 )
 
 const (
-	// MaxCrashes is how many crashes a beacon tells of, so that it stays within
-	// one packet.
+	// MaxCrashes is the maximum number of crash reports in a heartbeat, so that
+	// it fits into one packet.
 	MaxCrashes = 3
-	// leaders is how many entries lead a zone: one may be lost without a gap.
-	leaders = 2
-	// hearsay is how much longer than at first hand an entry counts as alive that
-	// is known by word of others: two leaders pass the word on, each at its next
-	// beacon, of which one may be lost.
-	hearsay = 2000 * time.Millisecond
-	// hurry is the least time between two beacons that pass on news at once.
-	hurry = 100 * time.Millisecond
+	// leadersPerZone is the number of leaders per zone: with two, one may fail without
+	// interrupting the exchange.
+	leadersPerZone = 2
+	// relayAllowance extends Timeout for entries whose heartbeats arrive relayed: two
+	// leaders relay a report, each with its next heartbeat, and one of those
+	// datagrams may be lost.
+	relayAllowance = 2000 * time.Millisecond
+	// minRelayInterval is the minimum time between two heartbeats that relay a change
+	// immediately.
+	minRelayInterval = 100 * time.Millisecond
 )
 
 type (
-	// Node is what an entry says of itself.
+	// Node is the state that an entry reports about itself.
 	Node struct {
 		_ struct{} `cbor:",toarray"`
 
 		// Instance is the entry's name.
 		Instance id.Instance
-		// Incarnation is that of its process.
+		// Incarnation identifies its process; later processes have higher ones.
 		Incarnation id.Incarnation
-		// Count counts the beacons of the process.
+		// Count is the number of heartbeats that the process has sent.
 		Count uint64
 		// Zone is its availability zone.
 		Zone id.Zone
@@ -75,66 +79,67 @@
 		Callers netip.AddrPort
 		// Peers is its address for other entries.
 		Peers netip.AddrPort
-		// LinkMbps is the rate of its network link in Mbit/s; 0 if it is not
-		// known.
+		// LinkMbps is the rate of its network link in Mbit/s; 0 if unknown.
 		LinkMbps float64
-		// Ready tells that it serves callers and is not about to stop.
+		// Ready reports that it serves callers and is not shutting down.
 		Ready bool
-		// Changes are the versions of the newest changes of the store that the
-		// entry knows, by kind of object. They are told at first hand alone, as is
-		// all that follows.
+		// Changes holds the versions of the newest store changes that the entry
+		// has applied, by kind of object. This field and the following ones are
+		// not relayed.
 		Changes map[follow.Kind]store.Version
-		// Steady is for how long the store has answered the entry all along;
-		// 0 if it doesn't or if the entry can't tell.
+		// Steady is for how long the store has been available to the entry without
+		// interruption; 0 if it is unavailable or the entry has no recent answer.
 		Steady time.Duration
-		// Crashes is the latest news of requests that crash servers.
+		// Crashes holds the latest reports of requests that crash servers.
 		Crashes []quarantine.Sighting
 	}
 
-	// News is what a beacon brings beside who is alive.
+	// News is the content of a heartbeat beside the liveness of entries.
 	News struct {
-		// Changes are the newest changes of the store that its sender knows or
-		// has heard of.
+		// Changes holds the versions of the newest store changes known to the
+		// sender, received from the store or from other entries.
 		Changes map[follow.Kind]store.Version
-		// Crashes is the latest news of requests that crash servers.
+		// Crashes holds the latest reports of requests that crash servers.
 		Crashes []quarantine.Sighting
 	}
 
-	// Beacon sends and receives beacons. Its exported fields are set before
-	// its first use. It is safe for concurrent use.
+	// Beacon sends and receives heartbeats and keeps the set of live entries.
+	// The exported fields must be set before first use. It is safe for
+	// concurrent use.
 	Beacon struct {
-		// Self returns what this entry says of itself.
+		// Self returns this entry's own state.
 		Self func() Node
-		// Interval is the time between two beacons to one entry.
+		// Interval is the time between two heartbeats to the same entry.
 		Interval time.Duration
-		// Timeout is how long an entry may be silent while it counts as alive.
+		// Timeout is how long an entry counts as alive after a heartbeat that was
+		// received directly.
 		Timeout time.Duration
-		// Heard is called with what each beacon brings that is taken in; nil is
-		// not.
+		// Heard, if not nil, is called with the content of each accepted
+		// heartbeat.
 		Heard func(now time.Time, news News)
-		// Log gets a line for each entry that comes or goes.
+		// Log receives a line for each entry that becomes alive, changes or falls
+		// silent.
 		Log *slog.Logger
 
-		mu     sync.Mutex
-		count  uint64
-		known  map[netip.AddrPort]*peer
-		hints  map[follow.Kind]store.Version
-		view   *view         // who is alive; nil if it has changed
-		turn   int           // counts the rounds, to try silent entries in turn
-		urgent chan struct{} // asks for a beacon that passes on news
+		mu            sync.Mutex
+		count         uint64
+		peers         map[netip.AddrPort]*peer
+		invalidations map[follow.Kind]store.Version
+		view          *view         // live entries by zone; nil if outdated
+		round         int           // counts the rounds, to probe silent entries in rotation
+		urgent        chan struct{} // requests a heartbeat outside the interval
 	}
 
 	peer struct {
-		zone   id.Zone // as far as known
-		node   Node
-		direct time.Time // when it was heard at first hand
-		heard  time.Time // when it was heard, by its own word or another's
-		alive  bool      // as last logged
+		zone       id.Zone // empty if unknown
+		node       Node
+		lastDirect time.Time // latest heartbeat received directly
+		lastSeen   time.Time // latest heartbeat, received directly or relayed
+		alive      bool      // state logged last
 	}
 )
 
-// Meet makes an entry's address known, and its availability zone, if that is
-// known.
+// Meet adds an entry's address, and its availability zone unless that is empty.
 func (b *Beacon) Meet(zone id.Zone, addr netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,56 +148,55 @@
 	}
 }
 
-// Forget drops the addresses that keep returns false for and that are silent.
+// Forget removes the addresses for which keep returns false and that are silent.
 func (b *Beacon) Forget(now time.Time, keep func(netip.AddrPort) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for addr, p := range b.known {
+	for addr, p := range b.peers {
 		if !keep(addr) && !b.isAlive(p, now) {
-			delete(b.known, addr)
+			delete(b.peers, addr)
 			b.view = nil
-			b.Log.Info("entry forgotten", "instance", p.node.Instance, "peers", addr, "silent", since(now, p.heard))
+			b.Log.Info("entry removed from the peer list", "instance", p.node.Instance, "peers", addr, "silent", since(now, p.lastSeen))
 		}
 	}
 }
 
-// Silent returns how long an entry has been silent, and false if it was never
-// heard.
+// Silent returns the time since an entry's latest heartbeat, and false if there
+// was none.
 func (b *Beacon) Silent(now time.Time, addr netip.AddrPort) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.known[addr]
-	if p == nil || p.heard.IsZero() {
+	p := b.peers[addr]
+	if p == nil || p.lastSeen.IsZero() {
 		return 0, false
 	}
-	return now.Sub(p.heard), true
+	return now.Sub(p.lastSeen), true
 }
 
-// Known returns the addresses of the other entries that there may be, alive or
-// not, in order.
+// Known returns the addresses of all other known entries, alive or not, in order.
 func (b *Beacon) Known() []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]netip.AddrPort, 0, len(b.known))
-	for addr := range b.known {
+	out := make([]netip.AddrPort, 0, len(b.peers))
+	for addr := range b.peers {
 		out = append(out, addr)
 	}
 	slices.SortFunc(out, netip.AddrPort.Compare)
 	return out
 }
 
-// Alive returns the other entries that are alive, by name.
+// Alive returns the other entries that are alive, sorted by name.
 func (b *Beacon) Alive(now time.Time) []Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Node
-	for _, p := range b.known {
+	for _, p := range b.peers {
 		if !b.isAlive(p, now) {
 			continue
 		}
 		n := p.node
-		if now.Sub(p.direct) > b.Timeout {
-			n.Steady = 0 // it may have ended since
+		if now.Sub(p.lastDirect) > b.Timeout {
+			n.Steady = 0 // outdated, as it isn't relayed
 		}
 		out = append(out, n)
 	}
@@ -216,22 +220,22 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			b.Log.Warn("beacon not read", "err", err)
+			b.Log.Warn("heartbeat not read", "err", err)
 			continue
 		}
 		m, err := decode(buf[:n])
 		if err != nil {
-			b.Log.Warn("beacon left out", "bytes", n, "err", err)
+			b.Log.Warn("heartbeat dropped", "bytes", n, "err", err)
 			continue
 		}
 		now := time.Now()
-		if b.take(now, m) && len(m.Entries) == 0 {
+		if b.receive(now, m) && len(m.Entries) == 0 {
 			b.answer(now, conn, m)
 		}
 	}
 }
 
-// Announce sends a beacon to all entries that this one sends beacons to.
+// Announce sends a heartbeat to all of this entry's targets immediately.
 func (b *Beacon) Announce(conn net.PacketConn) {
 	now := time.Now()
 	b.write(conn, b.compose(now), b.targets(now))
@@ -242,7 +246,7 @@
 	defer tick.Stop()
 	for {
 		b.Announce(conn)
-		b.expire(time.Now())
+		b.logSilent(time.Now())
 	wait:
 		for {
 			select {
@@ -252,9 +256,9 @@
 				break wait
 			case <-b.urgent:
 				now := time.Now()
-				b.write(conn, b.compose(now), b.relays(now))
+				b.write(conn, b.compose(now), b.relayTargets(now))
 				select {
-				case <-time.After(hurry):
+				case <-time.After(minRelayInterval):
 				case <-ctx.Done():
 					return
 				}
@@ -263,36 +267,36 @@
 	}
 }
 
-// compose makes a beacon.
+// compose builds a heartbeat.
 func (b *Beacon) compose(now time.Time) *message {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count++
 	self.Count = b.count
-	b.raise(self.Changes)
-	m := &message{Format: format, From: self, Hints: make(map[follow.Kind]store.Version, len(b.hints))}
-	for kind, version := range b.hints {
-		m.Hints[kind] = version
+	b.mergeInvalidations(self.Changes)
+	m := &message{Format: format, From: self, Invalidations: make(map[follow.Kind]store.Version, len(b.invalidations))}
+	for kind, version := range b.invalidations {
+		m.Invalidations[kind] = version
 	}
-	m.Zones = b.states(now, &self)
+	m.Zones = b.zoneStates(now, &self)
 	return m
 }
 
 func (b *Beacon) write(conn net.PacketConn, m *message, to []netip.AddrPort) {
 	data, err := encode(m)
 	if err != nil {
-		b.Log.Error("beacon not encoded", "err", err)
+		b.Log.Error("heartbeat not encoded", "err", err)
 		return
 	}
 	for _, addr := range to {
-		// Datagrams may be lost; the next beacon says the same.
+		// Datagrams may be lost; the next heartbeat repeats the content.
 		_, _ = conn.WriteTo(data, net.UDPAddrFromAddrPort(addr))
 	}
 }
 
-// take takes in a beacon. It returns false for one that is left out.
-func (b *Beacon) take(now time.Time, m *message) bool {
+// receive applies a received heartbeat. It returns false if the heartbeat is dropped.
+func (b *Beacon) receive(now time.Time, m *message) bool {
 	self := b.Self()
 	if !m.From.valid() || m.From.Peers == self.Peers {
 		return false
@@ -303,48 +307,48 @@
 		b.mu.Unlock()
 		return false
 	}
-	changed := b.hear(now, p, &m.From, now)
-	p.direct = now
-	raised := b.raise(m.Hints)
+	changed := b.apply(now, p, &m.From, now)
+	p.lastDirect = now
+	raised := b.mergeInvalidations(m.Invalidations)
 	for i := range m.Entries {
-		b.hearOf(now, &self, &m.Entries[i])
+		b.applyRelayed(now, &self, &m.Entries[i])
 	}
 	b.confirm(now, &self, m)
-	if (changed || raised) && b.leads(now, &self) {
+	if (changed || raised) && b.isLeader(now, &self) {
 		select {
 		case b.urgent <- struct{}{}:
-		default: // it was asked for already, or nothing is sent yet
+		default: // already requested, or Run has not started
 		}
 	}
 	b.mu.Unlock()
 	if b.Heard != nil {
-		b.Heard(now, News{Changes: m.Hints, Crashes: m.From.Crashes})
+		b.Heard(now, News{Changes: m.Invalidations, Crashes: m.From.Crashes})
 	}
 	return true
 }
 
-// hearOf takes in an entry by another's word.
-func (b *Beacon) hearOf(now time.Time, self *Node, s *sighting) {
-	if !s.Node.valid() || s.Node.Peers == self.Peers || s.Age < 0 || s.Age > b.Timeout+hearsay {
+// applyRelayed applies the relayed state of an entry.
+func (b *Beacon) applyRelayed(now time.Time, self *Node, r *relayedNode) {
+	if !r.Node.valid() || r.Node.Peers == self.Peers || r.Age < 0 || r.Age > b.Timeout+relayAllowance {
 		return
 	}
-	p := b.peer(s.Node.Peers)
-	if s.Node.Incarnation < p.node.Incarnation {
+	p := b.peer(r.Node.Peers)
+	if r.Node.Incarnation < p.node.Incarnation {
 		return
 	}
-	b.hear(now, p, &s.Node, now.Add(-s.Age))
+	b.apply(now, p, &r.Node, now.Add(-r.Age))
 }
 
-// hear takes in that an entry was heard at a time. It returns whether that changes
-// who may be used.
-func (b *Beacon) hear(now time.Time, p *peer, n *Node, at time.Time) bool {
+// apply applies an entry's state as of the time at. It reports whether this changes
+// which entries may be used.
+func (b *Beacon) apply(now time.Time, p *peer, n *Node, at time.Time) bool {
 	newer := n.Incarnation > p.node.Incarnation || n.Count >= p.node.Count
 	changed := newer && (n.Incarnation != p.node.Incarnation || n.Ready != p.node.Ready) || !b.isAlive(p, now)
 	if changed {
 		b.view = nil
 	}
 	if changed && newer {
-		b.Log.Info("entry heard", "instance", n.Instance, "incarnation", n.Incarnation, "ready", n.Ready, "silent", since(now, p.heard))
+		b.Log.Info("entry heard", "instance", n.Instance, "incarnation", n.Incarnation, "ready", n.Ready, "silent", since(now, p.lastSeen))
 	}
 	if newer {
 		kept := p.node
@@ -353,79 +357,79 @@
 		}
 		p.node, p.zone = *n, n.Zone
 		if n.Changes == nil && kept.Incarnation == n.Incarnation {
-			// Word of others doesn't tell what only the entry itself does.
+			// Relayed reports omit these fields.
 			p.node.Changes, p.node.Steady, p.node.Crashes = kept.Changes, kept.Steady, kept.Crashes
 		}
 	}
-	if at.After(p.heard) {
-		p.heard = at
+	if at.After(p.lastSeen) {
+		p.lastSeen = at
 	}
 	p.alive = b.isAlive(p, now)
 	return changed
 }
 
-// confirm takes in the word of a sender on the zones that it knows as this entry
-// does. Ages tell when the entries themselves were heard, so word that comes back
-// in a circle keeps nobody alive.
+// confirm refreshes the entries of the zones whose digest equals this entry's own.
+// Ages refer to the heartbeats of the entries themselves, so reports that circulate
+// among leaders don't keep a stopped entry alive.
 func (b *Beacon) confirm(now time.Time, self *Node, m *message) {
 	for _, z := range m.Zones {
 		ours := b.zone(now, self, z.Zone)
-		if z.Age < 0 || z.Age > b.Timeout+hearsay || z.Digest != ours.digest {
+		if z.Age < 0 || z.Age > b.Timeout+relayAllowance || z.Digest != ours.digest {
 			continue
 		}
 		for _, p := range ours.others {
-			if now.Add(-z.Age).After(p.heard) {
-				p.heard = now.Add(-z.Age)
+			if now.Add(-z.Age).After(p.lastSeen) {
+				p.lastSeen = now.Add(-z.Age)
 			}
 		}
 	}
 }
 
-// raise takes in changes of the store, and returns whether any is news.
-func (b *Beacon) raise(changes map[follow.Kind]store.Version) bool {
-	news := false
+// mergeInvalidations merges the versions of store changes, and reports whether any is newer.
+func (b *Beacon) mergeInvalidations(changes map[follow.Kind]store.Version) bool {
+	raised := false
 	for kind, version := range changes {
-		if version > b.hints[kind] {
-			if b.hints == nil {
-				b.hints = make(map[follow.Kind]store.Version)
+		if version > b.invalidations[kind] {
+			if b.invalidations == nil {
+				b.invalidations = make(map[follow.Kind]store.Version)
 			}
-			b.hints[kind], news = version, true
+			b.invalidations[kind], raised = version, true
 		}
 	}
-	return news
+	return raised
 }
 
-// expire notes the entries that have become silent.
-func (b *Beacon) expire(now time.Time) {
+// logSilent logs the entries that have become silent.
+func (b *Beacon) logSilent(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for addr, p := range b.known {
+	for addr, p := range b.peers {
 		if p.alive && !b.isAlive(p, now) {
 			p.alive = false
-			b.Log.Warn("entry silent", "instance", p.node.Instance, "peers", addr, "silent", now.Sub(p.heard))
+			b.Log.Warn("entry silent", "instance", p.node.Instance, "peers", addr, "silent", now.Sub(p.lastSeen))
 		}
 	}
 }
 
 func (b *Beacon) peer(addr netip.AddrPort) *peer {
-	if b.known == nil {
-		b.known = make(map[netip.AddrPort]*peer)
+	if b.peers == nil {
+		b.peers = make(map[netip.AddrPort]*peer)
 	}
-	p := b.known[addr]
+	p := b.peers[addr]
 	if p == nil {
 		p = &peer{}
-		b.known[addr], b.view = p, nil
+		b.peers[addr], b.view = p, nil
 	}
 	return p
 }
 
 func (b *Beacon) isAlive(p *peer, now time.Time) bool {
 	limit := b.Timeout
-	if p.heard.Sub(p.direct) > b.Interval {
-		// Less is the time that the word of others was under way.
-		limit += hearsay
+	if p.lastSeen.Sub(p.lastDirect) > b.Interval {
+		// A smaller difference is just the delay of a relayed report.
+		limit += relayAllowance
 	}
-	return !p.heard.IsZero() && now.Sub(p.heard) <= limit
+	return !p.lastSeen.IsZero() && now.Sub(p.lastSeen) <= limit
 }
 
 func since(now, then time.Time) time.Duration {
--- a/internal/beacon/beacon_test.go
+++ b/internal/beacon/beacon_test.go
@@ -43,42 +43,42 @@
 		age  time.Duration
 		want []beacon.Node
 	}{
-		"heard":                         {[]beacon.Node{node(2, 1)}, timeout, []beacon.Node{node(2, 1)}},
-		"silent":                        {[]beacon.Node{node(2, 1)}, timeout + 1, nil},
-		"itself":                        {[]beacon.Node{node(1, 1)}, 0, nil},
-		"without an address":            {[]beacon.Node{{Instance: "entry-2"}}, 0, nil},
-		"about to stop":                 {[]beacon.Node{node(2, 2), leaving}, 0, []beacon.Node{leaving}},
-		"an earlier process is late":    {[]beacon.Node{node(2, 2), node(2, 1)}, 0, []beacon.Node{node(2, 2)}},
-		"a later process took over":     {[]beacon.Node{leaving, node(2, 3)}, 0, []beacon.Node{node(2, 3)}},
-		"several, by name":              {[]beacon.Node{node(3, 1), node(2, 1)}, 0, []beacon.Node{node(2, 1), node(3, 1)}},
-		"said to be ready and then not": {[]beacon.Node{node(2, 2), leaving, leaving}, 0, []beacon.Node{leaving}},
+		"heartbeat received":                     {[]beacon.Node{node(2, 1)}, timeout, []beacon.Node{node(2, 1)}},
+		"silent":                                 {[]beacon.Node{node(2, 1)}, timeout + 1, nil},
+		"itself":                                 {[]beacon.Node{node(1, 1)}, 0, nil},
+		"without an address":                     {[]beacon.Node{{Instance: "entry-2"}}, 0, nil},
+		"graceful shutdown":                      {[]beacon.Node{node(2, 2), leaving}, 0, []beacon.Node{leaving}},
+		"late heartbeat of an earlier process":   {[]beacon.Node{node(2, 2), node(2, 1)}, 0, []beacon.Node{node(2, 2)}},
+		"later process replaces the earlier one": {[]beacon.Node{leaving, node(2, 3)}, 0, []beacon.Node{node(2, 3)}},
+		"several, sorted by name":                {[]beacon.Node{node(3, 1), node(2, 1)}, 0, []beacon.Node{node(2, 1), node(3, 1)}},
+		"ready, then not ready":                  {[]beacon.Node{node(2, 2), leaving, leaving}, 0, []beacon.Node{leaving}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBeacon()
 			for _, n := range tt.take {
-				b.Take(start, n)
+				b.Receive(start, n)
 			}
 			is.Equal(b.Alive(start.Add(tt.age)), tt.want)
 		})
 	}
 }
 
-// News of an earlier process of an entry is not handed on.
-func TestNewsOfAnEarlierProcess(t *testing.T) {
+// Crash reports in a late heartbeat of an earlier process must not be delivered.
+func TestHeartbeatOfEarlierProcessIsDropped(t *testing.T) {
 	is := is.New(t)
 	b := newBeacon()
-	var heard []int
-	b.Heard = func(_ time.Time, news beacon.News) { heard = append(heard, len(news.Crashes)) }
+	var received []int
+	b.Heard = func(_ time.Time, u beacon.News) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
 	late.Crashes = make([]quarantine.Sighting, 1)
-	b.Take(start, node(2, 2))
-	b.Take(start, late)
-	is.Equal(heard, []int{0})
+	b.Receive(start, node(2, 2))
+	b.Receive(start, late)
+	is.Equal(received, []int{0})
 }
 
-// A process that is asked to stop right after its start says so.
+// A process that is stopped before Run has started must still announce it.
 func TestAnnounceBeforeRun(t *testing.T) {
 	is := is.New(t)
 	b := newBeacon()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func TestOneAcquaintanceIsEnough(t *testing.T) {
+func TestEntriesDiscoverEachOtherThroughOneKnownPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +135,7 @@
 			b.Self = func() beacon.Node { return self }
 			all = append(all, b)
 		}
-		// The first knows both others, who know nobody.
+		// Only the first entry knows the addresses of the others.
 		all[0].Meet("a-1", node(2, 1).Peers)
 		all[0].Meet("a-1", node(3, 1).Peers)
 		for i, b := range all {
--- a/internal/beacon/export_test.go
+++ b/internal/beacon/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// Take takes in a beacon that tells of its sender alone.
-func (b *Beacon) Take(now time.Time, n Node) { b.take(now, &message{Format: format, From: n}) }
+// Receive applies a heartbeat without zones and entries.
+func (b *Beacon) Receive(now time.Time, n Node) { b.receive(now, &message{Format: format, From: n}) }
--- a/internal/beacon/many_test.go
+++ b/internal/beacon/many_test.go
@@ -21,19 +21,20 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Sizes and bounds of a deployment of many entries.
+// Sizes and time limits of the simulated deployment.
 const (
 	manyZones  = 4
 	zoneSize   = 8
 	settleTime = 5 * time.Second
-	// goneTime is within what an entry that ended must not be named any more:
-	// the platform's stable window of 3 s, and 3 s more, of which callers may use
-	// an answer of the directory for none.
-	goneTime = 6 * time.Second
+	// removalTime is how soon a stopped entry must no longer count as alive: the
+	// platform's stable window of 3 s plus 3 s, with nothing reserved for cached
+	// answers of the directory.
+	removalTime = 6 * time.Second
 )
 
 type (
-	// deployment is many entries that each know the addresses of all.
+	// deployment is a simulated deployment in which each entry knows the
+	// addresses of all others.
 	deployment struct {
 		t       *testing.T
 		rng     *rand.Rand
@@ -53,8 +54,8 @@
 		sent       atomic.Int64
 		ready      atomic.Bool
 		starts     atomic.Uint64
-		change     atomic.Uint64 // of the store, as this entry knows
-		heard      atomic.Uint64 // as it has heard of
+		change     atomic.Uint64 // newest store change applied by this entry
+		received   atomic.Uint64 // newest store change received in heartbeats
 	}
 
 	memberConn struct {
@@ -111,7 +112,7 @@
 	return d
 }
 
-// start starts an entry, which knows the addresses of all.
+// start starts an entry that knows the addresses of all others.
 func (d *deployment) start(ctx context.Context, m *member) {
 	starts := m.starts.Add(1)
 	m.beacon = &beacon.Beacon{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
@@ -121,8 +122,8 @@
 		self.Changes = map[follow.Kind]store.Version{follow.Servers: store.Version(m.change.Load())}
 		return self
 	}
-	m.beacon.Heard = func(_ time.Time, news beacon.News) {
-		m.heard.Store(max(m.heard.Load(), uint64(news.Changes[follow.Servers])))
+	m.beacon.Heard = func(_ time.Time, u beacon.News) {
+		m.received.Store(max(m.received.Load(), uint64(u.Changes[follow.Servers])))
 	}
 	for _, other := range d.entries {
 		if other != m {
@@ -133,8 +134,8 @@
 	go func() { _ = m.beacon.Run(ctx, &memberConn{member: m, ended: ctx.Done()}) }()
 }
 
-// believed returns how many entries hold that another one is alive and ready.
-func (d *deployment) believed(of *member) int {
+// countAlive returns how many other entries regard an entry as alive and ready.
+func (d *deployment) countAlive(of *member) int {
 	n := 0
 	for _, m := range d.entries {
 		if m == of {
@@ -149,7 +150,7 @@
 	return n
 }
 
-// within waits until a condition holds, and fails after a limit.
+// within waits until a condition holds, and fails the test after limit.
 func (d *deployment) within(limit time.Duration, what string, holds func() bool) {
 	d.t.Helper()
 	for end := time.Now().Add(limit); !holds(); time.Sleep(100 * time.Millisecond) {
@@ -159,11 +160,12 @@
 	}
 }
 
-// settled tells whether all entries know all.
-func (d *deployment) settled() bool { return d.unknown() == "" }
+// settled reports whether every entry regards all others as alive.
+func (d *deployment) settled() bool { return d.firstMissing() == "" }
 
-// unknown names an entry that another one doesn't hold to be alive.
-func (d *deployment) unknown() string {
+// firstMissing describes an entry that another one doesn't regard as alive; empty if
+// there is none.
+func (d *deployment) firstMissing() string {
 	for _, m := range d.entries {
 		known := make(map[id.Instance]bool)
 		for _, other := range m.beacon.Alive(time.Now()) {
@@ -172,7 +174,7 @@
 		for _, other := range d.entries {
 			if other != m && !known[other.self.Instance] {
 				silent, _ := m.beacon.Silent(time.Now(), other.self.Peers)
-				return fmt.Sprintf("%s doesn't know %s, silent for %v", m.self.Instance, other.self.Instance, silent)
+				return fmt.Sprintf("%s doesn't regard %s as alive, silent for %v", m.self.Instance, other.self.Instance, silent)
 			}
 		}
 	}
@@ -181,7 +183,7 @@
 
 func TestManyEntries(t *testing.T) {
 	tests := map[string]func(is *is.I, d *deployment){
-		"few datagrams": func(is *is.I, d *deployment) {
+		"rate of datagrams is bounded": func(is *is.I, d *deployment) {
 			var before []int64
 			for _, m := range d.entries {
 				before = append(before, m.sent.Load())
@@ -196,41 +198,41 @@
 				}
 			}
 		},
-		"an entry ends": func(_ *is.I, d *deployment) {
-			gone := d.entries[len(d.entries)-1]
-			gone.cancel()
-			d.within(goneTime, "nobody names it", func() bool { return d.believed(gone) == 0 })
+		"an entry stops": func(_ *is.I, d *deployment) {
+			stopped := d.entries[len(d.entries)-1]
+			stopped.cancel()
+			d.within(removalTime, "the stopped entry is alive for no other", func() bool { return d.countAlive(stopped) == 0 })
 		},
-		"both leaders of a zone end": func(is *is.I, d *deployment) {
-			for _, gone := range []*member{d.entries[0], d.entries[manyZones]} {
-				gone.cancel()
+		"both leaders of a zone stop": func(is *is.I, d *deployment) {
+			for _, leader := range []*member{d.entries[0], d.entries[manyZones]} {
+				leader.cancel()
 			}
 			for range 40 {
 				time.Sleep(250 * time.Millisecond)
 				for _, m := range d.entries[2*manyZones:] {
-					is.True(d.believed(m) >= len(d.entries)-3) // all others stay known
+					is.True(d.countAlive(m) >= len(d.entries)-3) // all others stay alive
 				}
 			}
-			is.Equal(d.believed(d.entries[0]), 0)
+			is.Equal(d.countAlive(d.entries[0]), 0)
 		},
-		"an entry is about to stop": func(_ *is.I, d *deployment) {
+		"an entry shuts down gracefully": func(_ *is.I, d *deployment) {
 			m := d.entries[len(d.entries)-1]
 			m.ready.Store(false)
-			d.within(1500*time.Millisecond, "nobody names it", func() bool { return d.believed(m) == 0 })
+			d.within(1500*time.Millisecond, "the entry is ready for no other", func() bool { return d.countAlive(m) == 0 })
 		},
-		"an entry starts again": func(_ *is.I, d *deployment) {
+		"an entry restarts": func(_ *is.I, d *deployment) {
 			m := d.entries[len(d.entries)-2]
 			m.cancel()
 			time.Sleep(10 * time.Second)
 			d.start(d.t.Context(), m)
-			d.within(3*time.Second, "all name it", func() bool { return d.believed(m) == len(d.entries)-1 })
-			d.within(3*time.Second, "it knows all", d.settled)
+			d.within(3*time.Second, "the entry is alive for all others", func() bool { return d.countAlive(m) == len(d.entries)-1 })
+			d.within(3*time.Second, "all entries are alive for each other", d.settled)
 		},
-		"a change reaches all": func(_ *is.I, d *deployment) {
+		"a store change reaches all entries": func(_ *is.I, d *deployment) {
 			d.entries[len(d.entries)-1].change.Store(7)
-			d.within(time.Second, "all have heard", func() bool {
+			d.within(time.Second, "all entries have received the change", func() bool {
 				for _, m := range d.entries[:len(d.entries)-1] {
-					if m.heard.Load() != 7 {
+					if m.received.Load() != 7 {
 						return false
 					}
 				}
@@ -243,10 +245,10 @@
 			d.mu.Unlock()
 			for range 240 {
 				time.Sleep(250 * time.Millisecond)
-				is.Equal(d.unknown(), "")
+				is.Equal(d.firstMissing(), "")
 			}
 		},
-		"all start again": func(_ *is.I, d *deployment) {
+		"all entries restart": func(_ *is.I, d *deployment) {
 			for _, m := range d.entries {
 				m.cancel()
 			}
@@ -254,7 +256,7 @@
 			for _, m := range d.entries {
 				d.start(d.t.Context(), m)
 			}
-			d.within(settleTime, "all know all", d.settled)
+			d.within(settleTime, "all entries are alive for each other", d.settled)
 		},
 	}
 	for name, check := range tests {
@@ -264,7 +266,7 @@
 				for _, m := range d.entries {
 					d.start(t.Context(), m)
 				}
-				d.within(settleTime, "all know all", d.settled)
+				d.within(settleTime, "all entries are alive for each other", d.settled)
 				time.Sleep(settleTime)
 				check(is.New(t), d)
 				for _, m := range d.entries {
--- a/internal/beacon/message.go
+++ b/internal/beacon/message.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// format is the version of a datagram's layout. Others are left out.
+	// format is the version of the datagram layout. Datagrams of other versions
+	// are dropped.
 	format = 1
-	// maxDatagram is the longest datagram that is read, in bytes.
+	// maxDatagram is the size of the receive buffer in bytes.
 	maxDatagram = 4096
-	// listed is how many entries one datagram lists, so that it stays within one
-	// packet of 1,400 bytes: 64 bytes and three short names each.
-	listed = 10
+	// maxListed is the maximum number of entries in one datagram. At 64 bytes and
+	// three short names each, the datagram fits into a packet of 1,400 bytes.
+	maxListed = 10
 )
 
 type (
@@ -27,59 +28,60 @@
 		_ struct{} `cbor:",toarray"`
 
 		Format uint8
-		// From is what the sender says of itself.
+		// From is the sender's state.
 		From Node
-		// Hints are the newest changes of the store that the sender has heard of,
-		// its own included.
-		Hints map[follow.Kind]store.Version
-		// Zones tells what the sender knows of each availability zone.
+		// Invalidations holds the versions of the newest store changes known to the
+		// sender, received from the store or from other entries.
+		Invalidations map[follow.Kind]store.Version
+		// Zones summarizes the sender's view of each availability zone.
 		Zones []zoneState
-		// Entries are those of one zone that the receiver doesn't know as the
-		// sender does; empty in most messages.
-		Entries []sighting
+		// Entries lists the entries of one zone for which the digests of sender
+		// and receiver differ; empty in most messages.
+		Entries []relayedNode
 	}
 
-	// zoneState sums up the entries of a zone that are alive.
+	// zoneState summarizes the live entries of a zone.
 	zoneState struct {
 		_ struct{} `cbor:",toarray"`
 
 		Zone id.Zone
-		// Digest stands for who they are, and whether they are ready.
+		// Digest is a hash of their names, incarnations and readiness.
 		Digest uint64
-		// Age is how long ago the first of them was heard last.
+		// Age is the time since the latest heartbeat of the entry that has been
+		// silent longest.
 		Age time.Duration
 	}
 
-	// sighting is an entry of which the sender has heard.
-	sighting struct {
+	// relayedNode is the relayed state of another entry.
+	relayedNode struct {
 		_ struct{} `cbor:",toarray"`
 
 		Node Node
-		// Age is how long ago it was heard.
+		// Age is the time since its latest heartbeat.
 		Age time.Duration
 	}
 )
 
-// encode keeps fractions of seconds, which order the news of crashes.
+// encode keeps fractions of seconds, because crash reports are ordered by time.
 func encode(m *message) ([]byte, error) {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
-		return nil, eris.Wrap(err, "prepare the codec of beacons")
+		return nil, eris.Wrap(err, "create the heartbeat encoder")
 	}
 	data, err := mode.Marshal(m)
-	return data, eris.Wrap(err, "encode beacon")
+	return data, eris.Wrap(err, "encode heartbeat")
 }
 
 func decode(data []byte) (*message, error) {
 	var m message
 	if err := cbor.Unmarshal(data, &m); err != nil {
-		return nil, eris.Wrap(err, "decode beacon")
+		return nil, eris.Wrap(err, "decode heartbeat")
 	}
 	if m.Format != format {
-		return nil, eris.Errorf("beacon of format %d, want %d", m.Format, format)
+		return nil, eris.Errorf("heartbeat format %d, want %d", m.Format, format)
 	}
 	return &m, nil
 }
 
-// valid tells whether the addresses are there.
+// valid reports whether both addresses are set.
 func (n *Node) valid() bool { return n.Peers.IsValid() && n.Callers.IsValid() }
--- a/internal/beacon/zone.go
+++ b/internal/beacon/zone.go
@@ -14,39 +14,40 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// viewTime is how long a view is used; an entry's silence is noticed that late.
-const viewTime = 100 * time.Millisecond
+// viewTTL is how long a view is cached; it delays the detection of a silent entry
+// by up to that time.
+const viewTTL = 100 * time.Millisecond
 
 type (
-	// view is who is alive, by zone. It is made anew when that changes.
+	// view holds the live entries by zone. It is rebuilt when they change.
 	view struct {
 		at    time.Time
 		ready bool // this entry's own state
 		zones map[id.Zone]*zoneView
-		// names are the zones of the known entries, and of this one, in order. The
-		// empty name stands for those whose zone is not known.
+		// names holds the zones of all known entries, this one included, in order.
+		// The empty name represents entries whose zone is unknown.
 		names []id.Zone
 	}
 
 	zoneView struct {
-		// members are the entries that are alive, by name, this one included.
+		// members are the live entries, sorted by name, this one included.
 		members []*Node
-		// others are the same without this entry.
+		// others are the live entries without this one.
 		others []*peer
-		// digest stands for who they are, and whether they are ready.
+		// digest is a hash of the members' names, incarnations and readiness.
 		digest uint64
 	}
 )
 
-// current returns who is alive.
+// current returns the cached view, or a new one if it is outdated.
 func (b *Beacon) current(now time.Time, self *Node) *view {
-	if v := b.view; v == nil || now.Sub(v.at) >= viewTime || v.ready != self.Ready {
-		b.view = b.look(now, self)
+	if v := b.view; v == nil || now.Sub(v.at) >= viewTTL || v.ready != self.Ready {
+		b.view = b.buildView(now, self)
 	}
 	return b.view
 }
 
-// zone returns who is alive in a zone.
+// zone returns the live entries of a zone.
 func (b *Beacon) zone(now time.Time, self *Node, zone id.Zone) *zoneView {
 	if z := b.current(now, self).zones[zone]; z != nil {
 		return z
@@ -54,12 +55,12 @@
 	return &zoneView{}
 }
 
-// look makes a view.
-func (b *Beacon) look(now time.Time, self *Node) *view {
+// buildView builds a view.
+func (b *Beacon) buildView(now time.Time, self *Node) *view {
 	v := &view{at: now, ready: self.Ready, zones: make(map[id.Zone]*zoneView)}
 	names := map[id.Zone]bool{self.Zone: true}
 	v.add(self)
-	for _, p := range b.known {
+	for _, p := range b.peers {
 		names[p.zone] = true
 		if b.isAlive(p, now) {
 			z := v.add(&p.node)
@@ -99,10 +100,10 @@
 	return d.Sum64()
 }
 
-// leadersOf returns the addresses of a zone's leaders, without this entry.
+// leadersOf returns the addresses of a zone's leaders, excluding this entry.
 func (b *Beacon) leadersOf(now time.Time, self *Node, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, n := range first(b.zone(now, self, zone).members) {
+	for _, n := range leadersAmong(b.zone(now, self, zone).members) {
 		if n.Peers != self.Peers {
 			out = append(out, n.Peers)
 		}
@@ -110,15 +111,15 @@
 	return out
 }
 
-// leads tells whether this entry leads its zone.
-func (b *Beacon) leads(now time.Time, self *Node) bool {
-	return slices.ContainsFunc(first(b.zone(now, self, self.Zone).members), func(n *Node) bool { return n.Peers == self.Peers })
+// isLeader reports whether this entry is a leader of its zone.
+func (b *Beacon) isLeader(now time.Time, self *Node) bool {
+	return slices.ContainsFunc(leadersAmong(b.zone(now, self, self.Zone).members), func(n *Node) bool { return n.Peers == self.Peers })
 }
 
-func first(members []*Node) []*Node { return members[:min(len(members), leaders)] }
+func leadersAmong(members []*Node) []*Node { return members[:min(len(members), leadersPerZone)] }
 
-// states sums up the zones.
-func (b *Beacon) states(now time.Time, self *Node) []zoneState {
+// zoneStates summarizes all zones.
+func (b *Beacon) zoneStates(now time.Time, self *Node) []zoneState {
 	var out []zoneState
 	for _, zone := range b.current(now, self).names {
 		if zone == "" {
@@ -127,22 +128,23 @@
 		z := b.zone(now, self, zone)
 		s := zoneState{Zone: zone, Digest: z.digest}
 		for _, p := range z.others {
-			s.Age = max(s.Age, now.Sub(p.heard))
+			s.Age = max(s.Age, now.Sub(p.lastSeen))
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// targets returns the entries that get this one's beacons: the leaders of its zone,
-// and from a leader all of its zone and the leaders of the others. One that is
-// silent is tried in each zone, in turn, so that entries find each other.
+// targets returns the recipients of this entry's heartbeats: the leaders of its
+// zone, or, for a leader, all entries of its zone and the leaders of the others.
+// One silent entry per zone is added in rotation, so that entries discover each
+// other.
 func (b *Beacon) targets(now time.Time) []netip.AddrPort {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
-	leads := b.leads(now, &self)
+	b.round++
+	leads := b.isLeader(now, &self)
 	var out []netip.AddrPort
 	for _, zone := range b.current(now, &self).names {
 		switch {
@@ -157,25 +159,26 @@
 		case zone != "":
 			continue
 		}
-		if silent := b.silent(now, zone); len(silent) > 0 {
-			out = append(out, silent[b.turn%len(silent)])
+		if silent := b.silentIn(now, zone); len(silent) > 0 {
+			out = append(out, silent[b.round%len(silent)])
 		}
 	}
 	return out
 }
 
-// relays returns the entries to which a leader passes news on at once: those of its
-// zone that hear of others from it alone, and the leaders of other zones.
-func (b *Beacon) relays(now time.Time) []netip.AddrPort {
+// relayTargets returns the recipients to which a leader relays a change immediately: the
+// entries of its zone that are not leaders, which receive only relayed reports about
+// other entries, and the leaders of other zones.
+func (b *Beacon) relayTargets(now time.Time) []netip.AddrPort {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := b.zone(now, &self, self.Zone).members
-	if len(own) <= leaders {
-		return nil // all have heard at first hand
+	if len(own) <= leadersPerZone {
+		return nil // all entries received the change directly
 	}
 	var out []netip.AddrPort
-	for _, n := range own[leaders:] {
+	for _, n := range own[leadersPerZone:] {
 		out = append(out, n.Peers)
 	}
 	for _, zone := range b.current(now, &self).names {
@@ -186,10 +189,10 @@
 	return out
 }
 
-// silent returns the addresses of a zone that are known and not alive, in order.
-func (b *Beacon) silent(now time.Time, zone id.Zone) []netip.AddrPort {
+// silentIn returns the known addresses of a zone that are not alive, in order.
+func (b *Beacon) silentIn(now time.Time, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
-	for addr, p := range b.known {
+	for addr, p := range b.peers {
 		if p.zone == zone && !b.isAlive(p, now) {
 			out = append(out, addr)
 		}
@@ -198,22 +201,22 @@
 	return out
 }
 
-// answer lists the zones that the sender of a beacon knows otherwise than this
-// entry: its own zone, and for a sender of that zone all others. An entry that
-// leads no zone gets beacons only from those that don't know better, so it answers
-// as leaders do. Lists bring no answer.
+// answer sends this entry's lists of the zones whose digest differs in the received
+// heartbeat: of its own zone, and of all zones if the sender is in its zone. An
+// entry that is no leader answers too, since only senders with an outdated view
+// send heartbeats to it. Messages that carry a list are not answered.
 func (b *Beacon) answer(now time.Time, conn net.PacketConn, m *message) {
 	self := b.Self()
-	var lists [][]sighting
+	var lists [][]relayedNode
 	b.mu.Lock()
-	told := make(map[id.Zone]uint64, len(m.Zones))
+	reported := make(map[id.Zone]uint64, len(m.Zones))
 	for _, z := range m.Zones {
-		told[z.Zone] = z.Digest
+		reported[z.Zone] = z.Digest
 	}
 	for _, zone := range b.current(now, &self).names {
 		ours := zone == self.Zone || m.From.Zone == self.Zone
-		if zone != "" && ours && told[zone] != b.zone(now, &self, zone).digest {
-			lists = append(lists, b.sightings(now, &self, zone)...)
+		if zone != "" && ours && reported[zone] != b.zone(now, &self, zone).digest {
+			lists = append(lists, b.relayedNodes(now, &self, zone)...)
 		}
 	}
 	b.mu.Unlock()
@@ -224,20 +227,19 @@
 	}
 }
 
-// sightings lists the entries of a zone that are alive, in parts that fit into
-// datagrams.
-func (b *Beacon) sightings(now time.Time, self *Node, zone id.Zone) [][]sighting {
-	var all []sighting
+// relayedNodes returns the live entries of a zone in chunks that fit into datagrams.
+func (b *Beacon) relayedNodes(now time.Time, self *Node, zone id.Zone) [][]relayedNode {
+	var all []relayedNode
 	for _, p := range b.zone(now, self, zone).others {
 		n := p.node
 		n.Changes, n.Steady, n.Crashes = nil, 0, nil
-		all = append(all, sighting{Node: n, Age: now.Sub(p.heard)})
+		all = append(all, relayedNode{Node: n, Age: now.Sub(p.lastSeen)})
 	}
 	if zone == self.Zone {
 		n := *self
 		n.Changes, n.Steady, n.Crashes = nil, 0, nil
 		n.Count = b.count
-		all = append(all, sighting{Node: n})
+		all = append(all, relayedNode{Node: n})
 	}
-	return slices.Collect(slices.Chunk(all, listed))
+	return slices.Collect(slices.Chunk(all, maxListed))
 }
