--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -1,20 +1,21 @@
-// Package follow keeps an entry up to date with the objects of the platform's
-// store.
+// Package follow keeps an entry's local state up to date with the objects in the
+// platform's store.
 //
-// A [Follower] lists the objects of one kind and then asks for their changes, one
-// long call after the other. Most of those calls would only show that a connection
-// has not gone silent, so only a few entries, the scouts, wait for a short time.
-// Entries tell each other the newest change that they know; one that does not get
-// it from the store in time lists anew. While the store doesn't answer an entry, it
-// may take over what another entry knows, which the version of the newest change
-// guards from going back.
+// A [Follower] lists the objects of one kind and then watches them by consecutive
+// long polls. As most polls return nothing and only confirm that the connection is
+// alive, only a few entries, the short-poll entries, use a short wait. Entries
+// send each other the version of the newest change that they have applied
+// (invalidation); an entry that doesn't receive that change from the store in time
+// lists the objects again. While the store is unavailable, an entry can bootstrap
+// from the state of a peer; the version of the newest change ensures that it never
+// applies an older state than its own.
 //
 // # Usage
 //
 //	f := &follow.Follower{Feed: feed, Kind: follow.Servers, Sink: sink, Scout: isScout, Log: log}
 //	go f.Run(ctx)
-//	f.Hint(version)                  // another entry knows a change
-//	f.Adopt(version, func() { ... }) // and has told what it knows
+//	f.Hint(version)                  // another entry has applied this change
+//	f.Adopt(version, func() { ... }) // applies the state of another entry
 package follow
 
 import (
@@ -28,139 +29,143 @@
 )
 
 const (
-	// firstRetry is the pause after a call that failed, doubled up to a limit
-	// while calls fail: the store's rates allow each of hundreds of entries a few
-	// calls a second.
+	// firstRetry is the initial delay after a failed call, doubled for each
+	// further failure up to a limit. The store's rate limit allows each of
+	// hundreds of entries a few calls a second.
 	firstRetry = 50 * time.Millisecond
-	// scoutRetry is that limit for an entry that scouts, idleRetry for others.
-	scoutRetry = 400 * time.Millisecond
-	idleRetry  = 1600 * time.Millisecond
+	// shortPollMaxRetry is that limit for short-poll entries, idleRetry for others.
+	shortPollMaxRetry = 400 * time.Millisecond
+	longPollMaxRetry  = 1600 * time.Millisecond
 )
 
 // Kinds of objects that an entry follows.
 const (
 	// Servers are the registrations of backend servers.
 	Servers Kind = "servers"
-	// Configuration is the configuration of operators.
+	// Configuration is the configuration set by operators.
 	Configuration Kind = "configuration"
-	// EvacuatedZones are the zones whose servers get nothing.
+	// EvacuatedZones are the zones whose servers receive no requests.
 	EvacuatedZones Kind = "evacuatedZones"
 )
 
 type (
-	// Kind names a kind of objects, between entries and in logs.
+	// Kind identifies a kind of objects, in messages between entries and in logs.
 	Kind string
 
-	// Sink takes what a Follower learns. Its methods are called one at a time.
+	// Sink receives the objects and changes of a kind. Its methods are not
+	// called concurrently.
 	Sink interface {
-		// Replace takes in all objects of the kind.
+		// Replace applies a complete list of the objects.
 		Replace(now time.Time, all []store.Object)
-		// Change takes in a changed object.
+		// Change applies a created or modified object.
 		Change(now time.Time, o store.Object)
-		// Remove takes in that an object is gone.
+		// Remove applies the removal of an object.
 		Remove(now time.Time, key string)
-		// Resumed is called before Replace when the store answers again after
-		// it had been away for a time.
+		// Resumed is called before Replace when the store is available again
+		// after an outage, with the time since its last answer.
 		Resumed(now time.Time, away time.Duration)
 	}
 
 	// Follower keeps a Sink up to date with the objects of a kind.
 	//
-	// A watch whose connection has gone silent is noticed when its wait has
-	// passed. Only scouts wait for a short time; the others wait long and are
-	// told by Hint of changes that another entry has seen and they have not.
+	// A stalled watch is detected when its wait has expired. Only short-poll
+	// entries use a short wait; the others use a long one and are notified by
+	// Hint of changes that another entry has applied and they have not.
 	Follower struct {
 		// Feed is the store's feed of the objects.
 		Feed store.Feed
-		// Timeout is how long Feed waits for an answer beyond the wait that the
-		// store was asked for.
+		// Timeout is how long Feed waits for an answer beyond the wait that was
+		// requested from the store.
 		Timeout time.Duration
 		// Kind is the objects' kind.
 		Kind Kind
-		// Scout tells whether this entry is one of those that notice an outage
-		// for all.
+		// Scout reports whether this entry is a short-poll entry, which detects
+		// outages on behalf of all.
 		Scout func() bool
-		// ShortWait is how long a scout's watch waits at the store.
+		// ShortWait is the requested wait of a watch on a short-poll entry.
 		ShortWait time.Duration
-		// LongWait is how long the other watches wait.
+		// LongWait is the requested wait of a watch on other entries.
 		LongWait time.Duration
-		// Batch is the pause after changes came, in which further ones gather.
+		// Batch is the delay between an answer with changes and the next watch
+		// call, so that further changes arrive together.
 		Batch time.Duration
-		// Patience is how long after a Hint a watch may still bring the change.
+		// Patience is how long after a Hint the watch may take to deliver the
+		// change before the objects are listed again.
 		Patience time.Duration
-		// Sink takes in what is learnt.
+		// Sink receives the objects and their changes.
 		Sink Sink
-		// Log gets a line when the store is lost and regained.
+		// Log receives a line when the store becomes unavailable or available
+		// again, and when the objects have to be listed again.
 		Log *slog.Logger
 
 		gap   bool // changes may have been missed since the last list
 		retry time.Duration
 		wake  chan struct{}
 
-		// applying is held while Sink takes something in, together with the
-		// change of latest that belongs to it.
+		// applying is held while latest is updated and Sink applies the
+		// corresponding state.
 		applying sync.Mutex
 
-		mu       sync.Mutex
-		lost     bool
-		heard    time.Time     // when the store answered last
-		regained time.Time     // since when it has answered all along
-		covered  store.Version // all changes up to here are known
-		latest   store.Version // the newest change that is known
-		hint     store.Version // the newest change that another entry knows
-		behind   context.CancelCauseFunc
+		mu             sync.Mutex
+		unavailable    bool
+		answeredAt     time.Time     // time of the store's last answer
+		availableSince time.Time     // start of the current period without failed calls
+		covered        store.Version // all changes up to this version have been received from the store
+		latest         store.Version // the newest change that has been applied
+		invalidation   store.Version // the newest change that another entry has applied
+		cancelWatch    context.CancelCauseFunc
 	}
 )
 
-var errBehind = errors.New("another entry has seen a later change")
+var errStalled = errors.New("another entry has applied a later change")
 
 // Run follows the kind until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		all, rev, err := f.Feed.All(ctx)
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
-		f.listed(all, rev)
+		f.applyList(all, rev)
 		f.watch(ctx, rev)
 	}
 }
 
-// Latest returns the version of the newest change that is known.
+// Latest returns the version of the newest change that has been applied.
 func (f *Follower) Latest() store.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latest
 }
 
-// Hint takes in that another entry knows a change. If a watch doesn't bring it in
-// time, the objects are listed anew.
+// Hint records that another entry has applied a change. If the watch doesn't deliver
+// it within Patience, the objects are listed again.
 func (f *Follower) Hint(rev store.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if rev <= f.covered || rev <= f.hint {
+	if rev <= f.covered || rev <= f.invalidation {
 		return
 	}
-	f.hint = rev
-	if f.lost {
-		// The others reach the store: it is worth another try at once.
-		f.wakeUp()
+	f.invalidation = rev
+	if f.unavailable {
+		// Another entry can reach the store, so retry immediately.
+		f.wakeRetry()
 		return
 	}
-	time.AfterFunc(f.Patience, func() { f.check(rev) })
+	time.AfterFunc(f.Patience, func() { f.checkStalled(rev) })
 }
 
-// Missing tells whether the store doesn't answer, and either never did or another
-// entry knows a change that this one doesn't.
+// Missing reports whether the store is unavailable and this entry lacks state that a
+// peer may have: it has none at all, or another entry has applied a later change.
 func (f *Follower) Missing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost && (f.latest == 0 || f.hint > f.latest)
+	return f.unavailable && (f.latest == 0 || f.invalidation > f.latest)
 }
 
-// Adopt takes in by take what another entry knows, which is up to date with a
-// version. It returns false, and doesn't call take, if this entry knows as much.
+// Adopt calls take to apply the state of another entry as of a version. It returns
+// false, without calling take, if this entry's own state is at least as recent.
 func (f *Follower) Adopt(version store.Version, take func()) bool {
 	f.applying.Lock()
 	defer f.applying.Unlock()
@@ -176,8 +181,8 @@
 	return true
 }
 
-// Capture calls read with the version of what is known, which read may copy. It
-// is not called if nothing is.
+// Capture calls read with the version of the applied state, which can't change until
+// read returns. It doesn't call read if no state has been applied.
 func (f *Follower) Capture(read func(version store.Version)) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
@@ -186,96 +191,97 @@
 	}
 }
 
-// Age returns how long ago the store answered last.
+// Age returns the time since the store's last answer.
 func (f *Follower) Age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now.Sub(f.heard)
+	return now.Sub(f.answeredAt)
 }
 
-// Steady returns for how long the store has answered all along, as far as that
-// is known; 0 if it does not or if the last answer is too old to tell.
+// Steady returns for how long the store has been available without interruption;
+// 0 if it is unavailable or its last answer is older than ShortWait + Timeout.
 func (f *Follower) Steady(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost || now.Sub(f.heard) > f.ShortWait+f.Timeout {
+	if f.unavailable || now.Sub(f.answeredAt) > f.ShortWait+f.Timeout {
 		return 0
 	}
-	return now.Sub(f.regained)
+	return now.Sub(f.availableSince)
 }
 
-// check ends a watch that has not brought a change.
-func (f *Follower) check(rev store.Version) {
+// checkStalled cancels a watch that has not delivered a change.
+func (f *Follower) checkStalled(rev store.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.covered < rev && f.behind != nil {
+	if f.covered < rev && f.cancelWatch != nil {
 		f.Log.Warn("watch is behind", "kind", f.Kind, "covered", f.covered, "change", rev)
-		f.behind(errBehind)
+		f.cancelWatch(errStalled)
 	}
 }
 
-// watch takes in changes until they can't be had any more without a new list.
+// watch applies changes until a new list is required.
 func (f *Follower) watch(ctx context.Context, rev store.Version) {
 	for ctx.Err() == nil {
 		wait := f.LongWait
 		if f.Scout() {
 			wait = f.ShortWait
 		}
-		changes, next, err := f.ask(ctx, rev, wait)
+		changes, next, err := f.poll(ctx, rev, wait)
 		switch {
 		case errors.Is(err, store.ErrCompacted):
-			f.Log.Info("history of the store gone", "kind", f.Kind, "version", rev)
+			f.Log.Info("history of the store compacted", "kind", f.Kind, "version", rev)
 			f.gap = true
 			return
-		case errors.Is(err, errBehind):
+		case errors.Is(err, errStalled):
 			return
 		case err != nil:
-			// A new list is asked for at once: the watch may just have been cut.
+			// List again immediately: it may be just the connection that was
+			// closed.
 			f.Log.Info("watch ended", "kind", f.Kind, "version", rev, "err", err)
 			f.gap = true
 			return
 		}
 		rev = next
-		f.changed(changes, next)
+		f.applyChanges(changes, next)
 		if len(changes) > 0 {
 			sleep(ctx, f.Batch)
 		}
 	}
 }
 
-// ask makes one watch call, which Hint may end.
-func (f *Follower) ask(ctx context.Context, rev store.Version, wait time.Duration) ([]store.Change, store.Version, error) {
+// poll makes one watch call, which Hint may cancel.
+func (f *Follower) poll(ctx context.Context, rev store.Version, wait time.Duration) ([]store.Change, store.Version, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	f.mu.Lock()
-	f.behind = cancel
-	if f.hint > rev {
-		hint := f.hint
-		time.AfterFunc(f.Patience, func() { f.check(hint) })
+	f.cancelWatch = cancel
+	if f.invalidation > rev {
+		version := f.invalidation
+		time.AfterFunc(f.Patience, func() { f.checkStalled(version) })
 	}
 	f.mu.Unlock()
 	changes, next, err := f.Feed.Changes(ctx, rev, wait)
 	f.mu.Lock()
-	f.behind = nil
+	f.cancelWatch = nil
 	f.mu.Unlock()
-	if errors.Is(context.Cause(ctx), errBehind) {
-		return nil, 0, errBehind
+	if errors.Is(context.Cause(ctx), errStalled) {
+		return nil, 0, errStalled
 	}
 	return changes, next, err
 }
 
-// changed takes in the answer of a watch.
-func (f *Follower) changed(changes []store.Change, covered store.Version) {
+// applyChanges applies the answer to a watch call.
+func (f *Follower) applyChanges(changes []store.Change, covered store.Version) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
-	f.answered()
+	f.recordAnswer()
 	f.mu.Lock()
 	before := f.latest
 	for i := range changes {
 		f.latest = max(f.latest, changes[i].Version)
 	}
 	if len(changes) > 0 && f.latest == before {
-		// The changes name no new version; the newest is at most this one.
+		// No change has a new version; covered is an upper bound for the newest.
 		f.latest = covered
 	}
 	f.covered = covered
@@ -290,8 +296,8 @@
 	}
 }
 
-// listed takes in a list.
-func (f *Follower) listed(all []store.Object, covered store.Version) {
+// applyList applies a list.
+func (f *Follower) applyList(all []store.Object, covered store.Version) {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -299,55 +305,55 @@
 	for _, o := range all {
 		f.latest = max(f.latest, o.Version)
 	}
-	f.latest = max(f.latest, min(f.hint, covered))
+	f.latest = max(f.latest, min(f.invalidation, covered))
 	if f.gap {
-		// Objects may have been removed meanwhile, which a list doesn't show.
+		// Removals during the gap don't appear in the list, but count as changes.
 		f.latest, f.gap = covered, false
 	}
 	f.mu.Unlock()
-	f.answered()
+	f.recordAnswer()
 	f.Sink.Replace(time.Now(), all)
 }
 
-func (f *Follower) answered() {
+func (f *Follower) recordAnswer() {
 	now := time.Now()
 	f.mu.Lock()
-	lost, away := f.lost, now.Sub(f.heard)
-	if lost || f.regained.IsZero() {
-		f.regained = now
+	wasUnavailable, away := f.unavailable, now.Sub(f.answeredAt)
+	if wasUnavailable || f.availableSince.IsZero() {
+		f.availableSince = now
 	}
-	f.heard, f.lost, f.retry = now, false, 0
+	f.answeredAt, f.unavailable, f.retry = now, false, 0
 	f.mu.Unlock()
-	if lost {
+	if wasUnavailable {
 		f.Log.Info("store regained", "kind", f.Kind, "away", away)
 		f.Sink.Resumed(now, away)
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	f.mu.Lock()
-	if !f.lost {
+	if !f.unavailable {
 		f.Log.Warn("store lost", "kind", f.Kind, "err", err)
 	}
-	f.lost, f.gap = true, true
+	f.unavailable, f.gap = true, true
 	f.mu.Unlock()
-	limit := idleRetry
+	limit := longPollMaxRetry
 	if f.Scout() {
-		limit = scoutRetry
+		limit = shortPollMaxRetry
 	}
 	f.retry = min(max(2*f.retry, firstRetry), limit)
 	select {
 	case <-time.After(f.retry):
-	case <-f.wakes():
+	case <-f.wakeChan():
 	case <-ctx.Done():
 	}
 }
 
-// wakes returns the channel that ends a pause after a failed call.
-func (f *Follower) wakes() <-chan struct{} {
+// wakeChan returns the channel that ends the delay after a failed call.
+func (f *Follower) wakeChan() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.wake == nil {
@@ -356,8 +362,9 @@
 	return f.wake
 }
 
-// wakeUp ends a pause after a failed call, or the next one. The caller holds mu.
-func (f *Follower) wakeUp() {
+// wakeRetry ends the delay after a failed call, or the next such delay. The caller
+// must hold mu.
+func (f *Follower) wakeRetry() {
 	if f.wake == nil {
 		f.wake = make(chan struct{}, 1)
 	}
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// feed is a store that can be away.
+	// feed is a store that can be made unavailable.
 	feed struct {
 		mu      sync.Mutex
 		away    bool
@@ -23,7 +23,7 @@
 		keys    []string
 	}
 
-	// sink keeps the keys that it was told last.
+	// sink holds the keys that were set last.
 	sink struct {
 		mu   sync.Mutex
 		keys []string
@@ -90,28 +90,28 @@
 	return s.keys
 }
 
-// TestTakingOver tells what another entry's knowledge does while the store is away
-// and after it is back.
-func TestTakingOver(t *testing.T) {
+// While the store is unavailable, an entry must apply a peer's state if, and only if,
+// it is more recent than its own. Once the store is back, its list takes precedence.
+func TestAdoptAppliesOnlyNewerState(t *testing.T) {
 	tests := map[string]struct {
-		// before is the store's first state; version 0 is a store that was
-		// away from the start.
+		// before is the version of the store's initial state; 0 is a store that
+		// is unavailable from the start.
 		before store.Version
-		// hint is the newest change that another entry says it knows.
+		// hint is the newest change that another entry has applied.
 		hint store.Version
-		// missing tells whether something is to be asked of it.
+		// missing is the expected result of Missing.
 		missing bool
-		// adopt is the version that it tells then.
+		// adopt is the version of the state that the other entry sends.
 		adopt store.Version
-		// adopted tells whether that is taken in.
+		// adopted is whether that state is expected to be applied.
 		adopted bool
 	}{
-		"nothing known yet":            {0, 5, true, 5, true},
-		"nobody to ask":                {0, 0, true, 0, false},
-		"the other knows more":         {4, 5, true, 5, true},
-		"the other knows as much":      {5, 5, false, 5, false},
-		"the other has learnt more":    {4, 5, true, 6, true},
-		"an old answer comes too late": {4, 5, true, 3, false},
+		"no state yet":                     {0, 5, true, 5, true},
+		"no peer has state":                {0, 0, true, 0, false},
+		"peer has a later change":          {4, 5, true, 5, true},
+		"peer has the same change":         {5, 5, false, 5, false},
+		"peer has advanced since the hint": {4, 5, true, 6, true},
+		"peer sends an older state":        {4, 5, true, 3, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -131,15 +131,15 @@
 				f.Hint(tt.hint)
 				time.Sleep(10 * time.Second)
 				is.Equal(f.Missing(), tt.missing)
-				is.Equal(f.Adopt(tt.adopt, func() { s.set("told") }), tt.adopted)
-				is.Equal(len(s.has()) > 0 && s.has()[0] == "told", tt.adopted)
-				// The store's word goes before that of another entry.
-				fd.set(false, 9, "listed anew")
+				is.Equal(f.Adopt(tt.adopt, func() { s.set("adopted") }), tt.adopted)
+				is.Equal(len(s.has()) > 0 && s.has()[0] == "adopted", tt.adopted)
+				// The store takes precedence over another entry.
+				fd.set(false, 9, "listed again")
 				time.Sleep(10 * time.Second)
-				is.Equal(s.has(), []string{"listed anew"})
+				is.Equal(s.has(), []string{"listed again"})
 				is.True(!f.Missing())
-				is.True(!f.Adopt(8, func() { s.set("told late") }))
-				is.Equal(s.has(), []string{"listed anew"})
+				is.True(!f.Adopt(8, func() { s.set("adopted late") }))
+				is.Equal(s.has(), []string{"listed again"})
 				cancel()
 				synctest.Wait()
 			})
@@ -152,7 +152,7 @@
 	f := &follow.Follower{Log: slog.New(slog.DiscardHandler)}
 	var got store.Version
 	f.Capture(func(v store.Version) { got = v })
-	is.Equal(got, store.Version(0)) // nothing is known
+	is.Equal(got, store.Version(0)) // no state has been applied
 	is.True(f.Adopt(7, func() {}))
 	f.Capture(func(v store.Version) { got = v })
 	is.Equal(got, store.Version(7))
--- a/internal/follow/group.go
+++ b/internal/follow/group.go
@@ -7,18 +7,18 @@
 	"github.com/shallotpier/shallotpier/internal/store"
 )
 
-// Group holds the followers of all kinds that an entry needs. It is not changed
-// after its first use.
+// Group holds an entry's followers by kind. It must not be changed after its first
+// use.
 type Group map[Kind]*Follower
 
-// Run runs all until ctx ends.
+// Run starts all followers, which run until ctx ends.
 func (g Group) Run(ctx context.Context) {
 	for _, f := range g {
 		go f.Run(ctx)
 	}
 }
 
-// Changes returns the newest changes that are known, by kind.
+// Changes returns the versions of the newest applied changes, by kind.
 func (g Group) Changes() map[Kind]store.Version {
 	out := make(map[Kind]store.Version, len(g))
 	for kind, f := range g {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// Hint takes in the newest changes that another entry knows.
+// Hint records the versions of the newest changes that another entry has applied.
 func (g Group) Hint(changes map[Kind]store.Version) {
 	for kind, version := range changes {
 		if f := g[kind]; f != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Missing returns the kinds of which another entry may know what the store
-// doesn't tell this one, with the newest change that is known of each.
+// Missing returns the kinds for which this entry lacks state that a peer may have
+// while the store is unavailable, with the version of the newest applied change.
 func (g Group) Missing() map[Kind]store.Version {
 	var out map[Kind]store.Version
 	for kind, f := range g {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Age returns how long ago the store answered last for a kind, 0 if it isn't
+// Age returns the time since the store's last answer for a kind, 0 if the kind isn't
 // followed.
 func (g Group) Age(kind Kind, now time.Time) time.Duration {
 	if f := g[kind]; f != nil {
@@ -62,8 +62,8 @@
 	return 0
 }
 
-// Steady returns for how long the store has answered all along for a kind, 0 if it
-// isn't followed.
+// Steady returns for how long the store has been available without interruption for
+// a kind, 0 if the kind isn't followed.
 func (g Group) Steady(kind Kind, now time.Time) time.Duration {
 	if f := g[kind]; f != nil {
 		return f.Steady(now)
