--- a/internal/beliefs/beliefs_test.go
+++ b/internal/beliefs/beliefs_test.go
@@ -22,16 +22,16 @@
 		change func(b *beliefs.Beliefs)
 		want   []string
 	}{
-		"none":          {func(*beliefs.Beliefs) {}, nil},
-		"configuration": {func(b *beliefs.Beliefs) { b.Version = 6 }, []string{"entry-1 and entry-2: configuration 7 and 6"}},
-		"zones":         {func(b *beliefs.Beliefs) { b.EvacuatedZones = []id.Zone{"a-1"} }, []string{"entry-1 and entry-2: evacuated zones [] and [a-1]"}},
-		"entries":       {func(b *beliefs.Beliefs) { b.Known = 5 }, []string{"entry-1 and entry-2: 6 and 5 other entries known"}},
-		"change":        {func(b *beliefs.Beliefs) { b.Store[0].Change = 39 }, []string{"entry-1 and entry-2: servers up to change 40 and 39"}},
-		"a little age":  {func(b *beliefs.Beliefs) { b.Store[0].Age = 10 * time.Second }, nil},
-		"age":           {func(b *beliefs.Beliefs) { b.Store[0].Age = time.Minute }, []string{"entry-1 and entry-2: servers confirmed 1s and 1m0s ago"}},
-		"state":         {func(b *beliefs.Beliefs) { b.Servers[0].State = beliefs.Out }, []string{"entry-1 and entry-2: server i-1 is usable and out"}},
-		"unknown here":  {func(b *beliefs.Beliefs) { b.Servers = nil }, []string{"entry-1 and entry-2: server i-1 is usable and not known"}},
-		"unknown there": {func(b *beliefs.Beliefs) {
+		"none":                         {func(*beliefs.Beliefs) {}, nil},
+		"configuration":                {func(b *beliefs.Beliefs) { b.Version = 6 }, []string{"entry-1 and entry-2: configuration 7 and 6"}},
+		"evacuated zones":              {func(b *beliefs.Beliefs) { b.EvacuatedZones = []id.Zone{"a-1"} }, []string{"entry-1 and entry-2: evacuated zones [] and [a-1]"}},
+		"known entries":                {func(b *beliefs.Beliefs) { b.Known = 5 }, []string{"entry-1 and entry-2: 6 and 5 other entries known"}},
+		"store change":                 {func(b *beliefs.Beliefs) { b.Store[0].Change = 39 }, []string{"entry-1 and entry-2: servers up to change 40 and 39"}},
+		"age within the margin":        {func(b *beliefs.Beliefs) { b.Store[0].Age = 10 * time.Second }, nil},
+		"age beyond the margin":        {func(b *beliefs.Beliefs) { b.Store[0].Age = time.Minute }, []string{"entry-1 and entry-2: servers confirmed 1s and 1m0s ago"}},
+		"server state":                 {func(b *beliefs.Beliefs) { b.Servers[0].State = beliefs.Out }, []string{"entry-1 and entry-2: server i-1 is usable and out"}},
+		"server missing in the second": {func(b *beliefs.Beliefs) { b.Servers = nil }, []string{"entry-1 and entry-2: server i-1 is usable and not known"}},
+		"server missing in the first": {func(b *beliefs.Beliefs) {
 			b.Servers = append(b.Servers, beliefs.Server{Name: "i-2", State: beliefs.Cold})
 		}, []string{"entry-1 and entry-2: server i-2 is not known and cold"}},
 	}
