--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -63,7 +63,7 @@
 		Remove(now time.Time, key string)
 		// Resumed is called before Replace when the store is available again
 		// after an outage, with the time since its last answer.
-		Resumed(now time.Time, away time.Duration)
+		Resumed(now time.Time, outage time.Duration)
 	}
 
 	// Follower keeps a Sink up to date with the objects of a kind.
@@ -318,15 +318,15 @@
 func (f *Follower) recordAnswer() {
 	now := time.Now()
 	f.mu.Lock()
-	wasUnavailable, away := f.unavailable, now.Sub(f.answeredAt)
+	wasUnavailable, outage := f.unavailable, now.Sub(f.answeredAt)
 	if wasUnavailable || f.availableSince.IsZero() {
 		f.availableSince = now
 	}
 	f.answeredAt, f.unavailable, f.retry = now, false, 0
 	f.mu.Unlock()
 	if wasUnavailable {
-		f.Log.Info("store regained", "kind", f.Kind, "away", away)
-		f.Sink.Resumed(now, away)
+		f.Log.Info("store regained", "kind", f.Kind, "away", outage)
+		f.Sink.Resumed(now, outage)
 	}
 }
 
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -17,10 +17,10 @@
 type (
 	// feed is a store that can be made unavailable.
 	feed struct {
-		mu      sync.Mutex
-		away    bool
-		version store.Version
-		keys    []string
+		mu          sync.Mutex
+		unavailable bool
+		version     store.Version
+		keys        []string
 	}
 
 	// sink holds the keys that were set last.
@@ -33,7 +33,7 @@
 func (f *feed) All(context.Context) ([]store.Object, store.Version, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return nil, 0, store.ErrUnavailable
 	}
 	var all []store.Object
@@ -51,16 +51,16 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return nil, 0, store.ErrUnavailable
 	}
 	return nil, after, nil
 }
 
-func (f *feed) set(away bool, version store.Version, keys ...string) {
+func (f *feed) set(unavailable bool, version store.Version, keys ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away, f.version, f.keys = away, version, keys
+	f.unavailable, f.version, f.keys = unavailable, version, keys
 }
 
 func (s *sink) Replace(_ time.Time, all []store.Object) {
