--- a/internal/beacon/beacon_test.go
+++ b/internal/beacon/beacon_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func newBeacon() *beacon.Beacon {
+func newDetector() *beacon.Beacon {
 	return &beacon.Beacon{
 		Self: func() beacon.Node { return node(1, 1) }, Interval: 500 * time.Millisecond, Timeout: timeout,
 		Log: slog.New(slog.DiscardHandler),
@@ -56,7 +56,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBeacon()
+			b := newDetector()
 			for _, n := range tt.take {
 				b.Receive(start, n)
 			}
@@ -68,7 +68,7 @@
 // Crash reports in a late heartbeat of an earlier process must not be delivered.
 func TestHeartbeatOfEarlierProcessIsDropped(t *testing.T) {
 	is := is.New(t)
-	b := newBeacon()
+	b := newDetector()
 	var received []int
 	b.Heard = func(_ time.Time, u beacon.News) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
@@ -81,7 +81,7 @@
 // A process that is stopped before Run has started must still announce it.
 func TestAnnounceBeforeRun(t *testing.T) {
 	is := is.New(t)
-	b := newBeacon()
+	b := newDetector()
 	b.Meet("a-1", node(2, 1).Peers)
 	n := network{node(2, 1).Peers.String(): make(chan []byte, 1)}
 	b.Announce(&packetConn{network: n})
@@ -131,7 +131,7 @@
 		for i := 1; i <= entries; i++ {
 			self := node(i, 1)
 			n[self.Peers.String()] = make(chan []byte, 100)
-			b := newBeacon()
+			b := newDetector()
 			b.Self = func() beacon.Node { return self }
 			all = append(all, b)
 		}
--- a/internal/beacon/many_test.go
+++ b/internal/beacon/many_test.go
@@ -48,7 +48,7 @@
 	member struct {
 		deployment *deployment
 		self       beacon.Node
-		beacon     *beacon.Beacon
+		detector   *beacon.Beacon
 		inbox      chan []byte
 		cancel     context.CancelFunc
 		sent       atomic.Int64
@@ -115,23 +115,23 @@
 // start starts an entry that knows the addresses of all others.
 func (d *deployment) start(ctx context.Context, m *member) {
 	starts := m.starts.Add(1)
-	m.beacon = &beacon.Beacon{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
-	m.beacon.Self = func() beacon.Node {
+	m.detector = &beacon.Beacon{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+	m.detector.Self = func() beacon.Node {
 		self := m.self
 		self.Ready, self.Incarnation = m.ready.Load(), id.Incarnation(starts)
 		self.Changes = map[follow.Kind]store.Version{follow.Servers: store.Version(m.change.Load())}
 		return self
 	}
-	m.beacon.Heard = func(_ time.Time, u beacon.News) {
+	m.detector.Heard = func(_ time.Time, u beacon.News) {
 		m.received.Store(max(m.received.Load(), uint64(u.Changes[follow.Servers])))
 	}
 	for _, other := range d.entries {
 		if other != m {
-			m.beacon.Meet(other.self.Zone, other.self.Peers)
+			m.detector.Meet(other.self.Zone, other.self.Peers)
 		}
 	}
 	ctx, m.cancel = context.WithCancel(ctx)
-	go func() { _ = m.beacon.Run(ctx, &memberConn{member: m, ended: ctx.Done()}) }()
+	go func() { _ = m.detector.Run(ctx, &memberConn{member: m, ended: ctx.Done()}) }()
 }
 
 // countAlive returns how many other entries regard an entry as alive and ready.
@@ -141,7 +141,7 @@
 		if m == of {
 			continue
 		}
-		for _, other := range m.beacon.Alive(time.Now()) {
+		for _, other := range m.detector.Alive(time.Now()) {
 			if other.Instance == of.self.Instance && other.Ready {
 				n++
 			}
@@ -168,12 +168,12 @@
 func (d *deployment) firstMissing() string {
 	for _, m := range d.entries {
 		known := make(map[id.Instance]bool)
-		for _, other := range m.beacon.Alive(time.Now()) {
+		for _, other := range m.detector.Alive(time.Now()) {
 			known[other.Instance] = true
 		}
 		for _, other := range d.entries {
 			if other != m && !known[other.self.Instance] {
-				silent, _ := m.beacon.Silent(time.Now(), other.self.Peers)
+				silent, _ := m.detector.Silent(time.Now(), other.self.Peers)
 				return fmt.Sprintf("%s doesn't regard %s as alive, silent for %v", m.self.Instance, other.self.Instance, silent)
 			}
 		}
