--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	f := &follow.Follower{Feed: feed, Kind: follow.Servers, Sink: sink, Scout: isScout, Log: log}
+//	f := &follow.Follower{Feed: feed, Kind: follow.Servers, Sink: sink, ShortPoll: isShortPoll, Log: log}
 //	go f.Run(ctx)
 //	f.Hint(version)                  // another entry has applied this change
 //	f.Adopt(version, func() { ... }) // applies the state of another entry
@@ -79,9 +79,9 @@
 		Timeout time.Duration
 		// Kind is the objects' kind.
 		Kind Kind
-		// Scout reports whether this entry is a short-poll entry, which detects
+		// ShortPoll reports whether this entry is a short-poll entry, which detects
 		// outages on behalf of all.
-		Scout func() bool
+		ShortPoll func() bool
 		// ShortWait is the requested wait of a watch on a short-poll entry.
 		ShortWait time.Duration
 		// LongWait is the requested wait of a watch on other entries.
@@ -89,9 +89,9 @@
 		// Batch is the delay between an answer with changes and the next watch
 		// call, so that further changes arrive together.
 		Batch time.Duration
-		// Patience is how long after a Hint the watch may take to deliver the
+		// StallTimeout is how long after a Hint the watch may take to deliver the
 		// change before the objects are listed again.
-		Patience time.Duration
+		StallTimeout time.Duration
 		// Sink receives the objects and their changes.
 		Sink Sink
 		// Log receives a line when the store becomes unavailable or available
@@ -140,7 +140,7 @@
 }
 
 // Hint records that another entry has applied a change. If the watch doesn't deliver
-// it within Patience, the objects are listed again.
+// it within StallTimeout, the objects are listed again.
 func (f *Follower) Hint(rev store.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,7 +153,7 @@
 		f.wakeRetry()
 		return
 	}
-	time.AfterFunc(f.Patience, func() { f.checkStalled(rev) })
+	time.AfterFunc(f.StallTimeout, func() { f.checkStalled(rev) })
 }
 
 // Missing reports whether the store is unavailable and this entry lacks state that a
@@ -223,7 +223,7 @@
 func (f *Follower) watch(ctx context.Context, rev store.Version) {
 	for ctx.Err() == nil {
 		wait := f.LongWait
-		if f.Scout() {
+		if f.ShortPoll() {
 			wait = f.ShortWait
 		}
 		changes, next, err := f.poll(ctx, rev, wait)
@@ -257,7 +257,7 @@
 	f.cancelWatch = cancel
 	if f.invalidation > rev {
 		version := f.invalidation
-		time.AfterFunc(f.Patience, func() { f.checkStalled(version) })
+		time.AfterFunc(f.StallTimeout, func() { f.checkStalled(version) })
 	}
 	f.mu.Unlock()
 	changes, next, err := f.Feed.Changes(ctx, rev, wait)
@@ -341,7 +341,7 @@
 	f.unavailable, f.gap = true, true
 	f.mu.Unlock()
 	limit := longPollMaxRetry
-	if f.Scout() {
+	if f.ShortPoll() {
 		limit = shortPollMaxRetry
 	}
 	f.retry = min(max(2*f.retry, firstRetry), limit)
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -122,7 +122,7 @@
 				fd.set(tt.before == 0, tt.before, "listed")
 				f := &follow.Follower{
 					Feed: fd, Kind: follow.Servers, Sink: s, Timeout: time.Second, ShortWait: time.Second, LongWait: time.Minute,
-					Batch: time.Second, Patience: time.Second, Scout: func() bool { return true }, Log: slog.New(slog.DiscardHandler),
+					Batch: time.Second, StallTimeout: time.Second, ShortPoll: func() bool { return true }, Log: slog.New(slog.DiscardHandler),
 				}
 				go f.Run(ctx)
 				time.Sleep(10 * time.Second)
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -43,7 +43,7 @@
 	g := make(follow.Group)
 	for _, kind := range []follow.Kind{follow.Servers, follow.Configuration, follow.EvacuatedZones} {
 		g[kind] = &follow.Follower{
-			Feed: awayFeed{}, Kind: kind, Sink: noSink{}, Scout: func() bool { return false }, Log: slog.New(slog.DiscardHandler),
+			Feed: awayFeed{}, Kind: kind, Sink: noSink{}, ShortPoll: func() bool { return false }, Log: slog.New(slog.DiscardHandler),
 		}
 	}
 	return g
