--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -109,7 +109,7 @@
 		mu             sync.Mutex
 		unavailable    bool
 		answeredAt     time.Time     // time of the store's last answer
-		availableSince time.Time     // start of the current period without failed calls
+		availableSince time.Time     // start of the current period without an outage
 		covered        store.Version // all changes up to this version have been received from the store
 		latest         store.Version // the newest change that has been applied
 		invalidation   store.Version // the newest change that another entry has applied
