--- a/internal/slots/ledger/account.go
+++ b/internal/slots/ledger/account.go
@@ -8,18 +8,19 @@
 )
 
 type (
-	// account is the books of one server.
+	// account holds the slot counts of one server.
 	account struct {
 		slots   int
 		ceiling int
-		// unknown counts slots granted under earlier terms and not claimed.
+		// unknown counts slots granted in earlier terms and not claimed since.
 		unknown int
-		// lost counts slots of replaced processes, until the term is raised.
-		lost   int
-		grants map[id.Instance]*grant
+		// orphaned counts slots held by replaced processes; it is cleared when the
+		// term is raised.
+		orphaned int
+		grants   map[id.Instance]*grant
 	}
 
-	// grant is what one holder has of a server.
+	// grant holds the slot counts of one holder on one server.
 	grant struct {
 		accepted int
 		given    uint64
@@ -27,18 +28,18 @@
 		used     int
 	}
 
-	// holder is what the home knows of one holder across servers.
+	// holder is the home's state of one holder, over all servers.
 	holder struct {
-		sender   peer.Sender
-		seq      uint64
-		heard    time.Duration
-		want     int
-		waiting  int
-		recalled int
-		leaving  bool
-		owed     int
-		// bothered is when the holder was last asked to give slots back.
-		bothered time.Duration
+		sender     peer.Sender
+		seq        uint64
+		lastReport time.Duration
+		want       int
+		waiting    int
+		recalled   int
+		leaving    bool
+		owed       int
+		// lastRecall is when the holder was last asked to return slots.
+		lastRecall time.Duration
 	}
 )
 
@@ -47,9 +48,9 @@
 
 func (g *grant) idle() int { return max(0, g.held()-g.used) }
 
-// granted returns how many slots holders may use.
+// granted returns how many slots all holders may use, including replaced ones.
 func (a *account) granted() int {
-	sum := a.lost
+	sum := a.orphaned
 	for _, g := range a.grants {
 		sum += g.held()
 	}
@@ -57,11 +58,12 @@
 }
 
 // free returns how many slots the home may grant. It is negative after the
-// server's slots were lowered, until enough has come back.
+// server's slots were lowered, until enough slots have been returned.
 func (a *account) free() int { return a.slots - a.unknown - a.granted() }
 
-// claim books what a holder kept from earlier terms.
-func (a *account) claim(instance id.Instance, claimed int) *grant {
+// acceptClaim accepts as many of the slots that a holder kept from earlier
+// terms as are unknown or free.
+func (a *account) acceptClaim(instance id.Instance, claimed int) *grant {
 	accepted := min(claimed, a.unknown+max(0, a.free()))
 	a.unknown = max(0, a.unknown-accepted)
 	g := &grant{accepted: accepted}
@@ -69,9 +71,9 @@
 	return g
 }
 
-// room tells whether the home may give the holder, which has reported on the
-// server, another slot.
-func (a *account) room(instance id.Instance) bool {
+// hasRoom reports whether the home may grant the holder another slot. It is
+// false for a holder that has not reported on the server.
+func (a *account) hasRoom(instance id.Instance) bool {
 	if a.free() <= 0 {
 		return false
 	}
--- a/internal/slots/ledger/doc.go
+++ b/internal/slots/ledger/doc.go
@@ -1,26 +1,29 @@
-// Package ledger keeps the home's books on the slots of a bucket of backend
-// servers.
+// Package ledger does the accounting of the slots (concurrency limits) of one
+// bucket of backend servers at the bucket's home entry.
 //
-// Each slot of a server is in one of three places: free at the home; granted
-// to a holder, one process of an entry; or unknown, granted under an earlier
-// lease term to someone who hasn't reported since. A [Ledger] moves slots
-// between them so that they always sum to the server's slots. Free is never
-// stored: it is what is left.
+// Each slot of a server is in one of three states: free at the home; granted
+// to a holder, which is one process of an entry; or unknown, which means that
+// it was granted in an earlier lease term to a holder that has not reported
+// since. A [Ledger] moves slots between these states, and their sum is always
+// the server's number of slots. The number of free slots is not stored but
+// computed from the other two.
 //
-// A holder's grant is what the home has given so far less what the holder has
-// returned so far. A grant that is lost on its way counts as granted, a return
-// that is lost as not returned, until the next message repeats the totals.
+// A holder's grant is the total that the home has given minus the total that
+// the holder has returned. If a message with a grant is lost, the slots count
+// as granted; if a message with a return is lost, they count as not returned.
+// The next message repeats the totals and corrects both sides.
 //
-// A home never takes a slot back by its own clock: a holder that it can't hear
-// may still confirm the home's term in the store. To reclaim the slots of a
-// silent holder the home raises its own term and calls [Ledger.Begin]. Then,
-// as after a takeover by another home, all that was granted is unknown. What
-// the holders claim leaves the unknown. The rest is free after Lifetime, for a
-// holder may have confirmed the old term until then, and after Longest on top,
-// for a request admitted at the last moment may run that long.
+// A home never reclaims a slot on the basis of its own clock, since a holder
+// that it can't reach may still confirm the home's term in the store. To
+// reclaim the slots of a silent holder, the home raises its own term and calls
+// [Ledger.Begin]. All granted slots are then unknown, as they are after another
+// entry has taken over as home. Slots that holders claim are granted again. The
+// rest becomes free after Lifetime, because a holder may have confirmed the old
+// term until then, plus Longest, because a request admitted at the last moment
+// may run that long.
 //
-// The Ledger does nothing once its authority has passed. It has no clock: now
-// is the time on the monotonic clock of the entry.
+// A Ledger grants nothing once its authority (the lease on the bucket) has
+// expired. It has no clock: now is the time on the entry's monotonic clock.
 //
 // # Usage
 //
--- a/internal/slots/ledger/ledger.go
+++ b/internal/slots/ledger/ledger.go
@@ -12,22 +12,22 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// firstTerm is the term of a home that had none before it.
+// firstTerm is the term of a bucket's first home, which has no predecessor.
 const firstTerm id.Term = 1
 
 type (
-	// Slots is what a Ledger divides of one server.
+	// Slots is the capacity of one server that a Ledger divides.
 	Slots struct {
 		// Server is the server's name.
 		Server id.Server
 		// Slots is the number to divide; 0 for a server that is leaving.
 		Slots int
-		// Ceiling bounds what one holder may have, so that the connections of
-		// all holders stay within the server's limit.
+		// Ceiling is the maximum number of slots of one holder, so that the
+		// connections of all holders stay within the server's limit.
 		Ceiling int
 	}
 
-	// Push is a Grant that the home sends on its own.
+	// Push is a Grant that the home sends without a preceding Report.
 	Push struct {
 		// To is the holder.
 		To peer.Sender
@@ -35,49 +35,51 @@
 		Grant wire.Grant
 	}
 
-	// Ledger is the books of one bucket in one home. Its exported fields are
-	// set before its first use. It is not safe for concurrent use.
+	// Ledger does the slot accounting of one bucket at its home. Its exported
+	// fields are set before its first use. It is not safe for concurrent use.
 	Ledger struct {
 		// Bucket names the servers.
 		Bucket wire.Bucket
-		// Lifetime is how long a grant lives after the holder sent the report
-		// that renewed it, or after it began the store read that confirmed it.
+		// Lifetime is how long a grant is valid after the holder sent the
+		// report that renewed it, or after it began the store read that
+		// confirmed it.
 		Lifetime time.Duration
 		// Longest is the longest time that a request may still run after the
 		// moment at which it took its slot.
 		Longest time.Duration
-		// Silence is after how long without a report a holder's slots should
-		// be reclaimed.
+		// Silence is the time without a report after which a holder's slots
+		// should be reclaimed.
 		Silence time.Duration
-		// Scatter keeps free slots with the holders instead of at home, so
-		// that little is unknown when the home is lost. It may be set at any
-		// time.
+		// Scatter distributes free slots among the holders instead of keeping
+		// them at the home, so that few slots are unknown after the home
+		// fails. It may be set at any time.
 		Scatter bool
 
-		term      id.Term
-		authority time.Duration
-		clear     time.Duration
-		accounts  map[id.Server]*account
-		names     []id.Server
-		holders   map[id.Instance]*holder
-		instances []id.Instance
-		pushes    []Push
-		now       time.Duration
+		term         id.Term
+		authority    time.Duration
+		unknownUntil time.Duration
+		accounts     map[id.Server]*account
+		names        []id.Server
+		holders      map[id.Instance]*holder
+		instances    []id.Instance
+		pushes       []Push
+		now          time.Duration
 	}
 )
 
-// Errors of Ledger.Report; compare with errors.Is.
+// Errors returned by [Ledger.Report]; compare with errors.Is.
 var (
 	// ErrNotHome means that this entry may not grant slots of the bucket.
 	ErrNotHome = eris.New("not home of the bucket")
-	// ErrReplaced means that the sender's process has been replaced.
+	// ErrReplaced means that a later process of the sender's instance has
+	// reported.
 	ErrReplaced = eris.New("sender has been replaced")
-	// ErrImpossible means that the report contradicts the ledger.
+	// ErrImpossible means that the report's totals exceed those of the ledger.
 	ErrImpossible = eris.New("report contradicts the ledger")
 )
 
-// Configure sets the slots to divide. Servers that are not named keep their
-// accounts with no slots until everything is returned.
+// Configure sets the slots to divide. A server that is not in the list keeps
+// its account, with no slots, so that its granted slots can still be returned.
 func (l *Ledger) Configure(slots []Slots, now time.Duration) {
 	if l.accounts == nil {
 		l.accounts = map[id.Server]*account{}
@@ -91,7 +93,7 @@
 	}
 	for name, a := range l.accounts {
 		s := named[name]
-		if more := s.Slots - a.slots; more > 0 && now < l.clear {
+		if more := s.Slots - a.slots; more > 0 && now < l.unknownUntil {
 			a.unknown += more
 		}
 		a.slots, a.ceiling = s.Slots, s.Ceiling
@@ -99,18 +101,18 @@
 	l.names = slices.Sorted(maps.Keys(l.accounts))
 	if l.mayGrant(now) {
 		l.now = now
-		l.settle("")
+		l.rebalance("")
 	}
 }
 
-// Begin starts a term that this entry has just got, after the store confirmed
-// it. The books of the term before are kept only if they are this Ledger's.
+// Begin starts a term of this entry, after the store confirmed it. The counts of
+// the preceding term are used only if this Ledger was the home in that term.
 func (l *Ledger) Begin(term id.Term, now time.Duration) {
 	follows := l.term != 0 && term == l.term+1
 	l.term = term
-	l.clear = now
+	l.unknownUntil = now
 	if term != firstTerm {
-		l.clear = now + l.Lifetime + l.Longest
+		l.unknownUntil = now + l.Lifetime + l.Longest
 	}
 	for _, a := range l.accounts {
 		switch {
@@ -121,14 +123,14 @@
 		default:
 			a.unknown = a.slots
 		}
-		a.lost = 0
+		a.orphaned = 0
 		clear(a.grants)
 	}
 	l.announce()
 	l.holders, l.instances = nil, nil
 }
 
-// announce tells the holders of the term before of the new one.
+// announce queues a push of the new term to the holders of the preceding one.
 func (l *Ledger) announce() {
 	l.pushes = nil
 	for _, instance := range l.instances {
@@ -141,14 +143,14 @@
 
 func (l *Ledger) mayGrant(now time.Duration) bool { return l.term != 0 && now < l.authority }
 
-// Term returns the term in force, 0 before the first Begin.
+// Term returns the current term, 0 before the first Begin.
 func (l *Ledger) Term() id.Term { return l.term }
 
-// SetAuthority sets the time from which this entry isn't home any more unless
-// its lease has been renewed.
+// SetAuthority sets the time at which the lease of this entry as home expires
+// unless it is renewed.
 func (l *Ledger) SetAuthority(until time.Duration) { l.authority = until }
 
-// Report takes a holder's report and returns the answer.
+// Report applies a holder's report and returns the grant that answers it.
 func (l *Ledger) Report(from peer.Sender, r *wire.Report, now time.Duration) (wire.Grant, error) {
 	if !l.mayGrant(now) || r.Term > l.term || r.Bucket != l.Bucket {
 		return wire.Grant{}, ErrNotHome
@@ -162,15 +164,15 @@
 	if err != nil {
 		return wire.Grant{}, err
 	}
-	if err := l.take(h, r); err != nil {
+	if err := l.apply(h, r); err != nil {
 		return wire.Grant{}, err
 	}
-	h.heard = now
-	l.settle(from.Instance)
-	return l.grant(h, r.Seq), nil
+	h.lastReport = now
+	l.rebalance(from.Instance)
+	return l.grantFor(h, r.Seq), nil
 }
 
-// Free returns how many slots the home has to grant.
+// Free returns how many slots the home can still grant.
 func (l *Ledger) Free() int {
 	sum := 0
 	for _, a := range l.accounts {
@@ -179,15 +181,16 @@
 	return sum
 }
 
-// Reserved returns how many slots no living holder can use: those of earlier
-// terms that nobody has claimed, and those of replaced or silent holders.
+// Reserved returns how many slots are unavailable to all live holders: those
+// granted in earlier terms and not claimed, and those of replaced or silent
+// holders.
 func (l *Ledger) Reserved(now time.Duration) int {
 	l.expire(now)
 	sum := 0
 	for _, a := range l.accounts {
-		sum += a.unknown + a.lost
+		sum += a.unknown + a.orphaned
 		for instance, g := range a.grants {
-			if now-l.holders[instance].heard >= l.Silence {
+			if now-l.holders[instance].lastReport >= l.Silence {
 				sum += g.held()
 			}
 		}
@@ -195,22 +198,22 @@
 	return sum
 }
 
-// Tick lets time pass. It returns true if slots of a silent holder could be
-// reclaimed by raising the term.
+// Tick frees the unknown slots whose grants have expired. It returns true if
+// slots of a silent or replaced holder could be reclaimed by raising the term.
 func (l *Ledger) Tick(now time.Duration) bool {
 	if !l.mayGrant(now) {
 		return false
 	}
 	l.now = now
 	if l.expire(now) {
-		l.settle("")
+		l.rebalance("")
 	}
 	for _, a := range l.accounts {
-		if a.lost > 0 {
+		if a.orphaned > 0 {
 			return true
 		}
 		for instance, g := range a.grants {
-			if g.held() > 0 && now-l.holders[instance].heard >= l.Silence {
+			if g.held() > 0 && now-l.holders[instance].lastReport >= l.Silence {
 				return true
 			}
 		}
@@ -218,17 +221,17 @@
 	return false
 }
 
-// Pushes returns the grants to send since the last call.
+// Pushes returns the grants to send that were queued since the last call.
 func (l *Ledger) Pushes() []Push {
 	out := l.pushes
 	l.pushes = nil
 	return out
 }
 
-// expire frees what is unknown once nobody can use it any more. It returns true
-// if there was some.
+// expire frees the unknown slots once no holder can use them any longer. It
+// returns true if there were any.
 func (l *Ledger) expire(now time.Duration) bool {
-	if now < l.clear {
+	if now < l.unknownUntil {
 		return false
 	}
 	some := false
@@ -249,21 +252,21 @@
 	}
 	for _, a := range l.accounts {
 		if g := a.grants[from.Instance]; g != nil {
-			a.lost += g.held()
+			a.orphaned += g.held()
 			delete(a.grants, from.Instance)
 		}
 	}
 	if l.holders == nil {
 		l.holders = map[id.Instance]*holder{}
 	}
-	h = &holder{sender: from, bothered: l.now - recallGap}
+	h = &holder{sender: from, lastRecall: l.now - recallGap}
 	l.holders[from.Instance] = h
 	l.instances = slices.Sorted(maps.Keys(l.holders))
 	return h, nil
 }
 
-// take books a report of the current term.
-func (l *Ledger) take(h *holder, r *wire.Report) error {
+// apply updates the counts from a report of the current term.
+func (l *Ledger) apply(h *holder, r *wire.Report) error {
 	for i := range r.Servers {
 		s := &r.Servers[i]
 		a := l.accounts[s.Server]
@@ -272,7 +275,7 @@
 		}
 		g := a.grants[h.sender.Instance]
 		if g == nil {
-			g = a.claim(h.sender.Instance, s.Claimed)
+			g = a.acceptClaim(h.sender.Instance, s.Claimed)
 		}
 		if s.Returned > uint64(g.accepted)+g.given || s.Seen > g.given {
 			return eris.Wrapf(ErrImpossible, "server %q of %q", s.Server, h.sender.Instance)
@@ -280,30 +283,31 @@
 		g.returned = max(g.returned, s.Returned)
 	}
 	if r.Seq > h.seq {
-		l.refresh(h, r)
+		l.applyLatest(h, r)
 	}
 	return nil
 }
 
-// refresh takes what only the newest report of a holder tells.
-func (l *Ledger) refresh(h *holder, r *wire.Report) {
+// applyLatest updates the state that only a holder's newest report may change:
+// its use, demand and leaving flag.
+func (l *Ledger) applyLatest(h *holder, r *wire.Report) {
 	h.seq = r.Seq
 	h.leaving = r.Leaving
 	h.recalled = 0
-	underway := 0
+	inFlight := 0
 	for i := range r.Servers {
 		s := &r.Servers[i]
 		if a := l.accounts[s.Server]; a != nil {
 			g := a.grants[h.sender.Instance]
 			g.used = s.Used
-			underway += int(g.given - s.Seen)
+			inFlight += int(g.given - s.Seen)
 		}
 	}
-	h.want = max(0, r.Want-underway)
-	h.waiting = min(h.want, max(0, r.Waiting-underway))
+	h.want = max(0, r.Want-inFlight)
+	h.waiting = min(h.want, max(0, r.Waiting-inFlight))
 }
 
-func (l *Ledger) grant(h *holder, seq uint64) wire.Grant {
+func (l *Ledger) grantFor(h *holder, seq uint64) wire.Grant {
 	out := wire.Grant{
 		Bucket: l.Bucket, Term: l.term, Seq: seq, Recall: h.recalled, Owed: h.owed, Keep: l.Scatter && !h.leaving,
 		Servers: make([]wire.Given, 0, len(l.names)),
--- a/internal/slots/ledger/ledger_test.go
+++ b/internal/slots/ledger/ledger_test.go
@@ -42,7 +42,7 @@
 	return g.Servers[0]
 }
 
-func TestLedgerReport(t *testing.T) {
+func TestLedgerReportGrants(t *testing.T) {
 	tests := map[string]struct {
 		term  id.Term
 		claim int
@@ -50,14 +50,14 @@
 		now   time.Duration
 		give  wire.Given
 	}{
-		"first home grants at once":       {term: 1, want: 9, give: wire.Given{Server: "a", Given: 6}},
-		"new home grants nothing":         {term: 2, want: 2, give: wire.Given{Server: "a"}},
-		"new home just before it knows":   {term: 2, want: 2, now: lifetime + longest - 1, give: wire.Given{Server: "a"}},
-		"new home once it knows":          {term: 2, want: 2, now: lifetime + longest, give: wire.Given{Server: "a", Given: 2}},
-		"new home accepts a claim":        {term: 2, claim: 4, want: 1, give: wire.Given{Server: "a", Accepted: 4}},
-		"claims stay within the slots":    {term: 2, claim: 9, give: wire.Given{Server: "a", Accepted: 6}},
-		"late claims only what is free":   {term: 2, claim: 4, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4}},
-		"claim and then what is left too": {term: 2, claim: 4, want: 5, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4, Given: 2}},
+		"first home grants at once":        {term: 1, want: 9, give: wire.Given{Server: "a", Given: 6}},
+		"new home grants nothing at first": {term: 2, want: 2, give: wire.Given{Server: "a"}},
+		"new home just before expiry":      {term: 2, want: 2, now: lifetime + longest - 1, give: wire.Given{Server: "a"}},
+		"new home after expiry":            {term: 2, want: 2, now: lifetime + longest, give: wire.Given{Server: "a", Given: 2}},
+		"new home accepts a claim":         {term: 2, claim: 4, want: 1, give: wire.Given{Server: "a", Accepted: 4}},
+		"claims stay within the slots":     {term: 2, claim: 9, give: wire.Given{Server: "a", Accepted: 6}},
+		"late claim of free slots":         {term: 2, claim: 4, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4}},
+		"claim and a grant of the rest":    {term: 2, claim: 4, want: 5, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4, Given: 2}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestLedgerRefuses(t *testing.T) {
+func TestLedgerRefusesReports(t *testing.T) {
 	tests := map[string]struct {
 		from   peer.Sender
 		report *wire.Report
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestLedgerIsIdempotent(t *testing.T) {
+func TestLedgerAppliesRepeatedReportsOnce(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(1, 6)
 	first := report(1, 1, 2, wire.Held{})
@@ -104,12 +104,12 @@
 		is.Equal(given(t, g, err).Given, uint64(2))
 	}
 	g, err := l.Report(sender("e-1"), report(1, 2, 2, wire.Held{}), 0)
-	is.Equal(given(t, g, err).Given, uint64(2)) // the two are still on their way
+	is.Equal(given(t, g, err).Given, uint64(2)) // the two granted are still in flight
 	g, err = l.Report(sender("e-1"), report(1, 3, 2, wire.Held{Seen: 2, Used: 2}), 0)
 	is.Equal(given(t, g, err).Given, uint64(4))
 }
 
-func TestLedgerMovesIdleSlots(t *testing.T) {
+func TestLedgerRecallsIdleSlotsForAnotherHolder(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(1, 6)
 	g, err := l.Report(sender("e-1"), report(1, 1, 6, wire.Held{}), 0)
@@ -128,7 +128,7 @@
 	is.Equal(pushes[0].Grant.Servers[0].Given, uint64(2))
 }
 
-func TestLedgerReclaims(t *testing.T) {
+func TestLedgerReclaimsSlotsOfASilentHolder(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(1, 6)
 	_, err := l.Report(sender("e-1"), report(1, 1, 4, wire.Held{}), 0)
@@ -140,12 +140,12 @@
 	is.Equal(len(pushes), 1)
 	is.Equal(pushes[0].Grant.Term, id.Term(2))
 	g, err := l.Report(sender("e-2"), report(2, 1, 6, wire.Held{}), lifetime)
-	is.Equal(given(t, g, err).Given, uint64(2)) // what was free stays so
+	is.Equal(given(t, g, err).Given, uint64(2)) // slots that were free stay free
 	l.Tick(2*lifetime + longest)
 	is.Equal(l.Pushes()[0].Grant.Servers[0].Given, uint64(6))
 }
 
-func TestLedgerConfigure(t *testing.T) {
+func TestLedgerConfigureChangesSlots(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(1, 6)
 	g, err := l.Report(sender("e-1"), report(1, 1, 6, wire.Held{}), 0)
@@ -154,9 +154,9 @@
 	is.Equal(l.Pushes()[0].Grant.Recall, 6)
 	l.Configure([]ledger.Slots{{Server: "a", Slots: 8, Ceiling: 7}}, 0)
 	g, err = l.Report(sender("e-1"), report(1, 2, 9, wire.Held{Seen: 6, Used: 6}), 0)
-	is.Equal(given(t, g, err).Given, uint64(7)) // no more than the ceiling
+	is.Equal(given(t, g, err).Given, uint64(7)) // bounded by the ceiling
 	old := newLedger(2, 6)
 	old.Configure([]ledger.Slots{{Server: "a", Slots: 8, Ceiling: 8}}, 0)
 	g, err = old.Report(sender("e-1"), report(2, 1, 8, wire.Held{}), 0)
-	is.Equal(given(t, g, err).Given, uint64(0)) // an earlier home may have granted all
+	is.Equal(given(t, g, err).Given, uint64(0)) // an earlier home may have granted the added slots too
 }
--- a/internal/slots/ledger/model_test.go
+++ b/internal/slots/ledger/model_test.go
@@ -28,12 +28,12 @@
 )
 
 type (
-	// model is a world of a few entries, a store and a network. An entry reads
-	// its clock when it takes up a task, and may be paused until it does it.
+	// model simulates a few entries, a store and a network. An entry reads its
+	// clock when it begins a task, and may be paused before it executes it.
 	model struct {
 		rng     *rand.Rand
 		longest time.Duration
-		stride  int
+		maxStep int
 		scatter bool
 		now     time.Duration
 		term    id.Term
@@ -45,14 +45,14 @@
 	}
 
 	modelEntry struct {
-		index  int
-		self   peer.Sender
-		offset time.Duration
-		gate   *gate.Gate
-		holder *holder.Holder
-		ledger *ledger.Ledger
-		paused func()
-		cut    bool
+		index       int
+		self        peer.Sender
+		offset      time.Duration
+		gate        *gate.Gate
+		holder      *holder.Holder
+		ledger      *ledger.Ledger
+		paused      func()
+		partitioned bool
 	}
 
 	modelMessage struct {
@@ -78,7 +78,7 @@
 	m := &model{home: -1, rng: rand.New(rand.NewPCG(seed, 1))}
 	m.longest = time.Duration(m.between(1, 40)) * time.Millisecond
 	m.scatter = seed>>scatterBit&1 == 1
-	m.stride = m.between(2, 15)
+	m.maxStep = m.between(2, 15)
 	for i := range m.entries {
 		m.entries[i] = &modelEntry{index: i, offset: time.Duration(i) * time.Hour}
 		m.start(i)
@@ -101,8 +101,8 @@
 
 func (m *model) clock(e *modelEntry) time.Duration { return m.now + e.offset }
 
-// do lets an entry do a task now, or pauses it between reading its clock and
-// doing the task.
+// do runs a task of an entry now, or pauses the entry between reading its clock
+// and running the task.
 func (m *model) do(e *modelEntry, task func(now time.Duration)) {
 	if e.paused != nil {
 		return
@@ -135,7 +135,7 @@
 	m.send(modelMessage{to: m.home, from: e.self, report: &r})
 }
 
-// deliver lets an entry take one message, which stays in the network if
+// deliver delivers a random message, which stays in the network if it is to be
 // duplicated.
 func (m *model) deliver() {
 	if len(m.net) == 0 {
@@ -143,7 +143,7 @@
 	}
 	i := m.between(0, len(m.net)-1)
 	msg := m.net[i]
-	if m.entries[msg.to].cut && msg.term == 0 {
+	if m.entries[msg.to].partitioned && msg.term == 0 {
 		return
 	}
 	if m.between(0, 3) != 0 {
@@ -176,11 +176,11 @@
 	}
 }
 
-// exchange lets an entry report to the home that it knows of and have the
-// answer, which may be lost or come late; the report may come again.
+// exchange sends an entry's report to the home that it knows of. The answer may
+// be lost or delayed, and the report may be duplicated.
 func (m *model) exchange() {
 	e, want := m.entry(), m.between(0, 2)
-	if e.paused != nil || e.cut || m.home < 0 {
+	if e.paused != nil || e.partitioned || m.home < 0 {
 		return
 	}
 	now := m.clock(e)
@@ -188,7 +188,7 @@
 		e.holder.Adopt(m.term, now)
 	}
 	home := m.knownHome(e)
-	if home.paused != nil || home.cut {
+	if home.paused != nil || home.partitioned {
 		return
 	}
 	r := e.holder.Report(now, want, want)
@@ -293,7 +293,7 @@
 }
 
 func (m *model) advance() {
-	m.now += time.Duration(m.between(1, m.stride)) * time.Millisecond
+	m.now += time.Duration(m.between(1, m.maxStep)) * time.Millisecond
 	for i := len(m.running) - 1; i >= 0; i-- {
 		if m.now >= m.running[i].deadline {
 			m.end(i)
@@ -301,9 +301,9 @@
 	}
 }
 
-// TestSlotsConserved holds that no server ever runs more requests than it has
-// slots, through any history of messages lost, doubled, late and out of order,
-// of processes paused, killed and restarted, and of homes that change.
+// TestSlotsConserved checks that a server never runs more requests than it has
+// slots, in histories with lost, duplicated, delayed and reordered messages,
+// with paused, killed and restarted processes, and with changes of the home.
 func TestSlotsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -313,11 +313,11 @@
 	})
 }
 
-// TestSlotsConservedFixedSeeds is the same over histories that never change.
-// Those listed failed once.
+// TestSlotsConservedFixedSeeds is TestSlotsConserved with fixed seeds. Those
+// listed by number failed before.
 func TestSlotsConservedFixedSeeds(t *testing.T) {
 	seeds := []uint64{
-		0x7daf7, // a claim that the home never got was kept alive by the store
+		0x7daf7, // a claim that the home never received was extended by store reads
 	}
 	for seed := range uint64(fixedSeeds) {
 		seeds = append(seeds, seed)
@@ -342,7 +342,7 @@
 
 func (m *model) between(low, high int) int { return low + m.rng.IntN(high-low+1) }
 
-// actions returns what may happen; the frequent ones stand in it repeatedly.
+// actions returns the possible actions, each repeated by its weight.
 func (m *model) actions() []func() {
 	weights := []struct {
 		weight int
@@ -350,7 +350,7 @@
 	}{
 		{12, m.acquire}, {12, m.exchange}, {6, m.deliver}, {4, m.advance}, {2, m.takeOver},
 		{1, m.raise}, {3, m.renewLease}, {2, m.readStore}, {2, m.finish}, {3, m.resume},
-		{1, m.restart}, {1, m.giveBack}, {1, m.tick}, {1, m.cutOff},
+		{1, m.restart}, {1, m.returnSlot}, {1, m.tick}, {1, m.togglePartition},
 	}
 	var out []func()
 	for _, w := range weights {
@@ -366,7 +366,7 @@
 	m.do(e, func(now time.Duration) { e.ledger.Tick(now); m.push(e) })
 }
 
-func (m *model) giveBack() {
+func (m *model) returnSlot() {
 	e := m.entry()
 	m.do(e, func(time.Duration) { e.holder.Return(1) })
 }
@@ -385,11 +385,11 @@
 	}
 }
 
-// cutOff parts an entry from the others, but not from the store, or joins it
-// again.
-func (m *model) cutOff() {
+// togglePartition cuts an entry off from the others, but not from the store, or
+// reconnects it.
+func (m *model) togglePartition() {
 	e := m.entry()
-	e.cut = !e.cut
+	e.partitioned = !e.partitioned
 }
 
 func (m *model) restart() {
--- a/internal/slots/ledger/settle.go
+++ b/internal/slots/ledger/settle.go
@@ -6,46 +6,46 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// minGap is how many more idle slots a holder must have than another before
-// one is moved only to keep in reserve.
+// minGap is how many more idle slots a holder must have than another before one
+// is moved to the other as a reserve, without a request waiting for it.
 const minGap = 2
 
-// recallGap is the least time between two requests to one holder to give slots
-// back.
+// recallGap is the minimum time between two recalls of slots from one holder.
 const recallGap = 20 * time.Millisecond
 
-// settle grants free slots to holders that want some, recalls idle ones for
-// the rest, and notes the grants to push. The reporting holder gets its grant
-// as an answer instead.
-func (l *Ledger) settle(reporting id.Instance) {
+// rebalance grants free slots to holders that want some, recalls idle slots for
+// the remaining demand, and queues the grants to push. The reporting holder gets
+// its grant in the answer instead.
+func (l *Ledger) rebalance(reporting id.Instance) {
 	changed := map[id.Instance]bool{}
-	for l.give(changed) {
+	for l.grantOne(changed) {
 		continue
 	}
 	l.recall(changed)
-	for l.Scatter && l.scatter(changed) {
+	for l.Scatter && l.scatterOne(changed) {
 		continue
 	}
 	for _, instance := range l.instances {
 		if changed[instance] && instance != reporting {
 			h := l.holders[instance]
-			l.pushes = append(l.pushes, Push{To: h.sender, Grant: l.grant(h, 0)})
+			l.pushes = append(l.pushes, Push{To: h.sender, Grant: l.grantFor(h, 0)})
 		}
 	}
 }
 
-// give grants one free slot to the holder that needs it most.
-func (l *Ledger) give(changed map[id.Instance]bool) bool {
+// grantOne grants one free slot to the holder with the highest demand. It
+// returns false if there is none to grant.
+func (l *Ledger) grantOne(changed map[id.Instance]bool) bool {
 	var (
 		best *holder
 		from *account
 	)
 	for _, instance := range l.instances {
 		h := l.holders[instance]
-		if h.want == 0 || best != nil && !h.needier(best) {
+		if h.want == 0 || best != nil && !h.needsMore(best) {
 			continue
 		}
-		if a := l.roomiest(instance); a != nil {
+		if a := l.mostFree(instance); a != nil {
 			best, from = h, a
 		}
 	}
@@ -60,15 +60,16 @@
 	return true
 }
 
-// scatter gives one free slot to the holder with least idle ones.
-func (l *Ledger) scatter(changed map[id.Instance]bool) bool {
+// scatterOne grants one free slot to the holder with the fewest idle ones. It
+// returns false if there is none to grant.
+func (l *Ledger) scatterOne(changed map[id.Instance]bool) bool {
 	var (
 		best  id.Instance
 		least int
 		from  *account
 	)
 	for _, instance := range l.instances {
-		a := l.roomiest(instance)
+		a := l.mostFree(instance)
 		if a == nil || l.holders[instance].leaving {
 			continue
 		}
@@ -84,65 +85,67 @@
 	return true
 }
 
-// roomiest returns the server with most free slots for the holder.
-func (l *Ledger) roomiest(instance id.Instance) *account {
+// mostFree returns the server with the most free slots that may be granted to
+// the holder, nil if there is none.
+func (l *Ledger) mostFree(instance id.Instance) *account {
 	var best *account
 	for _, name := range l.names {
 		a := l.accounts[name]
-		if a.room(instance) && (best == nil || a.free() > best.free()) {
+		if a.hasRoom(instance) && (best == nil || a.free() > best.free()) {
 			best = a
 		}
 	}
 	return best
 }
 
-// recall asks the holders with most idle slots for what is still wanted, and
-// for what servers whose slots were lowered lack.
+// recall recalls slots from the holders with the most idle ones, to cover the
+// demand that remains and the servers whose slots were lowered.
 func (l *Ledger) recall(changed map[id.Instance]bool) {
-	asked := map[id.Instance]int{}
-	for range l.lacking() {
-		if h := l.richest(asked, ""); h != nil {
-			asked[h.sender.Instance]++
+	recalls := map[id.Instance]int{}
+	for range l.overcommitted() {
+		if h := l.mostIdle(recalls, ""); h != nil {
+			recalls[h.sender.Instance]++
 		}
 	}
 	for _, instance := range l.instances {
 		h := l.holders[instance]
 		idle := l.idle(instance)
 		for n := range h.want {
-			rich := l.richest(asked, instance)
-			if rich == nil {
+			donor := l.mostIdle(recalls, instance)
+			if donor == nil {
 				break
 			}
-			left := l.idle(rich.sender.Instance) - asked[rich.sender.Instance]
+			left := l.idle(donor.sender.Instance) - recalls[donor.sender.Instance]
 			if n >= h.waiting && left < idle+n+minGap {
 				break
 			}
-			asked[rich.sender.Instance]++
+			recalls[donor.sender.Instance]++
 		}
 	}
-	for instance, n := range asked {
+	for instance, n := range recalls {
 		l.holders[instance].recalled = n
-		l.holders[instance].bothered = l.now
+		l.holders[instance].lastRecall = l.now
 		changed[instance] = true
 	}
-	l.owe(changed)
+	l.updateOwed(changed)
 }
 
-// owe lets holders without waiting requests owe the slots that requests wait
-// for elsewhere and that nobody is known to have idle.
-func (l *Ledger) owe(changed map[id.Instance]bool) {
-	lack := 0
+// updateOwed sets which holders owe a slot: while requests wait at some holder
+// and no holder is known to have idle slots, each holder without waiting requests
+// returns its next idle slot.
+func (l *Ledger) updateOwed(changed map[id.Instance]bool) {
+	unmet := 0
 	for _, h := range l.holders {
-		lack += h.waiting - h.recalled
+		unmet += h.waiting - h.recalled
 	}
 	for _, instance := range l.instances {
 		h := l.holders[instance]
 		owed := 0
-		if lack > 0 && h.waiting == 0 && l.held(instance) > 0 {
+		if unmet > 0 && h.waiting == 0 && l.held(instance) > 0 {
 			owed = 1
 		}
-		if owed > h.owed && l.now-h.bothered >= recallGap {
-			h.bothered = l.now
+		if owed > h.owed && l.now-h.lastRecall >= recallGap {
+			h.lastRecall = l.now
 			changed[instance] = true
 		}
 		h.owed = owed
@@ -159,8 +162,9 @@
 	return sum
 }
 
-// lacking returns how many slots are granted beyond what servers have.
-func (l *Ledger) lacking() int {
+// overcommitted returns how many slots are granted in excess of the servers'
+// slots.
+func (l *Ledger) overcommitted() int {
 	sum := 0
 	for _, a := range l.accounts {
 		sum += max(0, -a.free())
@@ -168,26 +172,27 @@
 	return sum
 }
 
-// richest returns the holder with most idle slots that has no recall under
-// way from before and isn't the one named; nil if none has any.
-func (l *Ledger) richest(asked map[id.Instance]int, besides id.Instance) *holder {
+// mostIdle returns the holder with the most idle slots, nil if none has any. It
+// skips the excluded holder and those with waiting requests, a pending recall or
+// a recall within recallGap.
+func (l *Ledger) mostIdle(recalls map[id.Instance]int, excluded id.Instance) *holder {
 	var (
 		best *holder
 		most int
 	)
 	for _, instance := range l.instances {
 		h := l.holders[instance]
-		if instance == besides || h.recalled > 0 || h.waiting > 0 || l.now-h.bothered < recallGap {
+		if instance == excluded || h.recalled > 0 || h.waiting > 0 || l.now-h.lastRecall < recallGap {
 			continue
 		}
-		if idle := l.idle(instance) - asked[instance]; idle > most {
+		if idle := l.idle(instance) - recalls[instance]; idle > most {
 			best, most = h, idle
 		}
 	}
 	return best
 }
 
-// idle returns how many slots of the bucket a holder leaves unused.
+// idle returns how many granted slots of the bucket a holder does not use.
 func (l *Ledger) idle(instance id.Instance) int {
 	sum := 0
 	for _, a := range l.accounts {
@@ -198,7 +203,7 @@
 	return sum
 }
 
-func (h *holder) needier(other *holder) bool {
+func (h *holder) needsMore(other *holder) bool {
 	if h.waiting != other.waiting {
 		return h.waiting > other.waiting
 	}
