--- a/internal/slots/holder/doc.go
+++ b/internal/slots/holder/doc.go
@@ -1,19 +1,19 @@
-// Package holder keeps an entry's books on the slots that the home of a
-// bucket has granted it.
+// Package holder does an entry's accounting of the slots that the home entry of
+// a bucket has granted it.
 //
-// Requests take slots from the gates of a [Holder] without asking anyone. The
-// Holder only moves the gates' limits and their common end. The end is
+// Requests take slots from the gates of a [Holder] without a call to the home.
+// The Holder only changes the gates' limits and their common end. The end is
 // Lifetime after the entry sent the last report that the home has answered, or
 // after it began the last read of the store that showed the home's term
-// unchanged. Past it no request gets a slot; those that run keep theirs.
+// unchanged. After the end no request gets a slot; running requests keep theirs.
 //
-// The Holder never counts more slots than its home does: it adds what the
-// home says it has given, and takes out what it returns before it says so.
-// Only idle slots are returned.
+// The Holder never counts more slots than its home does: it adds slots only
+// after the home has granted them, and subtracts returned slots before it
+// reports the return. Only idle slots are returned.
 //
-// When the term changes, what the Holder has of the old one becomes its claim
-// on the new home, and lives no longer than before until the home has accepted
-// it.
+// When the term changes, the slots held from the old term become the Holder's
+// claim on the new home. They expire at the same time as before, until the home
+// has accepted the claim.
 //
 // # Usage
 //
--- a/internal/slots/holder/holder.go
+++ b/internal/slots/holder/holder.go
@@ -10,34 +10,37 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// maxSent bounds the reports whose answers are still expected.
-const maxSent = 64
+// maxPending is the maximum number of reports whose answers are awaited; an
+// answer to an older one does not extend the end.
+const maxPending = 64
 
 type (
-	// Holder is the books of one bucket in one entry. Its exported fields are
-	// set before its first use. Its gates may be used by many goroutines; its
-	// methods may not.
+	// Holder does the slot accounting of one bucket at one entry. Its exported
+	// fields are set before its first use. Its gates are safe for concurrent
+	// use; its methods are not.
 	Holder struct {
 		// Bucket names the servers.
 		Bucket wire.Bucket
-		// Lifetime is how long grants live; it is the home's.
+		// Lifetime is how long a grant is valid; it must equal the home's.
 		Lifetime time.Duration
-		// Gate returns the gate of a server of the bucket, always the same.
+		// Gate returns the gate of a server of the bucket, the same one at
+		// each call.
 		Gate func(id.Server) *gate.Gate
 
-		term id.Term
-		seq  uint64
-		sent map[uint64]time.Duration
-		end  time.Duration
+		term    id.Term
+		seq     uint64
+		pending map[uint64]time.Duration
+		end     time.Duration
 		// accepted is set once the home has answered a report of this term.
 		accepted bool
 		spare    int
-		servers  map[id.Server]*share
+		servers  map[id.Server]*serverShare
 		names    []id.Server
 	}
 
-	// share is what the entry has of one server in the current term.
-	share struct {
+	// serverShare holds the entry's slot counts of one server in the current
+	// term.
+	serverShare struct {
 		gate     *gate.Gate
 		claimed  int
 		settled  bool
@@ -46,17 +49,17 @@
 	}
 )
 
-// Term returns the term that the Holder goes by, 0 if none.
+// Term returns the current term, 0 if none is known.
 func (h *Holder) Term() id.Term { return h.term }
 
 // End returns the time from which no slot can be taken.
 func (h *Holder) End() time.Duration { return h.end }
 
-// Spare returns how many slots of the bucket nobody else used, as the home
-// last said.
+// Spare returns how many slots of the bucket no other holder used, by the home's
+// last grant.
 func (h *Holder) Spare() int { return h.spare }
 
-// Counts returns the number of slots that the Holder has and those in use.
+// Counts returns the number of slots held and the number in use.
 func (h *Holder) Counts() (limit, used int) {
 	for _, s := range h.servers {
 		l, u := s.gate.Load()
@@ -66,48 +69,49 @@
 	return limit, used
 }
 
-// Configure adds servers. A server once added stays: its gate is closed when
-// it leaves.
+// Configure adds servers. It never removes one: the gate of a server that
+// leaves is closed instead.
 func (h *Holder) Configure(servers []id.Server) {
 	if h.servers == nil {
-		h.servers = map[id.Server]*share{}
+		h.servers = map[id.Server]*serverShare{}
 	}
 	for _, name := range servers {
 		if h.servers[name] == nil {
 			g := h.Gate(name)
 			g.SetEnd(h.end)
-			h.servers[name] = &share{gate: g, settled: true}
+			h.servers[name] = &serverShare{gate: g, settled: true}
 		}
 	}
 	h.names = slices.Sorted(maps.Keys(h.servers))
 }
 
-// Adopt goes over to a later term. An earlier one or the same does nothing.
+// Adopt switches to a later term; an earlier or equal term is ignored. Slots held
+// become the claim; idle slots are dropped if the end has passed.
 func (h *Holder) Adopt(term id.Term, now time.Duration) {
 	if term <= h.term {
 		return
 	}
 	h.term = term
-	h.sent = nil
+	h.pending = nil
 	h.accepted = false
 	for _, s := range h.servers {
 		limit, _ := s.gate.Load()
 		if now >= h.end {
 			limit -= s.gate.Lower(limit)
 		}
-		*s = share{gate: s.gate, claimed: limit, settled: limit == 0}
+		*s = serverShare{gate: s.gate, claimed: limit, settled: limit == 0}
 	}
 }
 
-// Report returns the next report to the home. It wants the given number of
-// further slots, some of them for waiting requests.
+// Report returns the next report to the home. It asks for want more slots, of
+// which waiting are for requests that already wait.
 func (h *Holder) Report(now time.Duration, want, waiting int) wire.Report {
 	h.seq++
-	if h.sent == nil {
-		h.sent = map[uint64]time.Duration{}
+	if h.pending == nil {
+		h.pending = map[uint64]time.Duration{}
 	}
-	h.sent[h.seq] = now
-	delete(h.sent, h.seq-maxSent)
+	h.pending[h.seq] = now
+	delete(h.pending, h.seq-maxPending)
 	r := wire.Report{
 		Bucket: h.Bucket, Term: h.term, Seq: h.seq, Want: want, Waiting: min(want, waiting),
 		Servers: make([]wire.Held, 0, len(h.names)),
@@ -122,8 +126,8 @@
 	return r
 }
 
-// Grant books a home's grant and returns the servers whose limit has risen, or
-// all if the end has moved.
+// Grant applies a home's grant and returns the servers whose limit has risen, or
+// all servers if the end had passed and is extended.
 func (h *Holder) Grant(g *wire.Grant, now time.Duration) []id.Server {
 	if g.Bucket != h.Bucket {
 		return nil
@@ -136,18 +140,18 @@
 	}
 	var raised []id.Server
 	for i := range g.Servers {
-		if h.book(&g.Servers[i]) {
+		if h.applyGiven(&g.Servers[i]) {
 			raised = append(raised, g.Servers[i].Server)
 		}
 	}
 	h.spare = g.Spare
-	begun, ok := h.sent[g.Seq]
+	begun, ok := h.pending[g.Seq]
 	if !ok || len(g.Servers) == 0 {
 		return raised
 	}
-	delete(h.sent, g.Seq)
+	delete(h.pending, g.Seq)
 	h.accepted = true
-	h.refuse(g)
+	h.dropUnansweredClaims(g)
 	if now >= h.end {
 		raised = h.names
 	}
@@ -155,21 +159,21 @@
 	return raised
 }
 
-// Confirm books that a read of the store, begun at the given time, showed the
-// term as the home's. It does nothing before the home has answered a report of
-// that term, as the home may not know of the claim.
+// Confirm extends the end after a read of the store, begun at the given time,
+// showed the term as the home's. It does nothing before the home has answered a
+// report of that term, since the home may not have received the claim.
 func (h *Holder) Confirm(term id.Term, begun time.Duration) {
 	if term == h.term && h.accepted {
 		h.extend(begun + h.Lifetime)
 	}
 }
 
-// Return takes up to n idle slots out, of the servers with most idle ones, and
-// returns how many. The next report tells the home.
+// Return gives up as many as n idle slots, from the servers with the most idle
+// ones, and returns how many. The next report notifies the home.
 func (h *Holder) Return(n int) int {
 	done := 0
 	for ; done < n; done++ {
-		s := h.idlest()
+		s := h.mostIdle()
 		if s == nil || s.gate.Lower(1) == 0 {
 			break
 		}
@@ -178,9 +182,9 @@
 	return done
 }
 
-func (h *Holder) idlest() *share {
+func (h *Holder) mostIdle() *serverShare {
 	var (
-		best *share
+		best *serverShare
 		most int
 	)
 	for _, name := range h.names {
@@ -193,9 +197,9 @@
 	return best
 }
 
-// book applies what the home has granted of one server. It returns true if the
-// limit has risen.
-func (h *Holder) book(g *wire.Given) bool {
+// applyGiven applies the home's grant of slots of one server. It returns true if
+// the limit has risen.
+func (h *Holder) applyGiven(g *wire.Given) bool {
 	s := h.servers[g.Server]
 	if s == nil {
 		return false
@@ -212,9 +216,9 @@
 	return true
 }
 
-// refuse drops the claims that an answer doesn't mention: the home doesn't know
-// the server and hasn't reserved its slots.
-func (h *Holder) refuse(g *wire.Grant) {
+// dropUnansweredClaims drops the claims on servers that an answer does not list:
+// the home does not have these servers and has not reserved their slots.
+func (h *Holder) dropUnansweredClaims(g *wire.Grant) {
 	for name, s := range h.servers {
 		named := slices.ContainsFunc(g.Servers, func(v wire.Given) bool { return v.Server == name })
 		if !s.settled && !named {
--- a/internal/slots/holder/holder_test.go
+++ b/internal/slots/holder/holder_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestHolderEnd(t *testing.T) {
+func TestHolderEndFollowsAnswersAndConfirmations(t *testing.T) {
 	tests := map[string]struct {
 		do   func(*holder.Holder)
 		want time.Duration
@@ -42,7 +42,7 @@
 			do:   func(h *holder.Holder) { h.Grant(grant(1, 1, 1, 0), 900*time.Millisecond) },
 			want: 100*time.Millisecond + lifetime,
 		},
-		"unasked grant":  {do: func(h *holder.Holder) { h.Grant(grant(1, 0, 1, 0), 0) }},
+		"pushed grant":   {do: func(h *holder.Holder) { h.Grant(grant(1, 0, 1, 0), 0) }},
 		"unknown answer": {do: func(h *holder.Holder) { h.Grant(grant(1, 7, 1, 0), 0) }},
 		"later term":     {do: func(h *holder.Holder) { h.Grant(grant(2, 1, 1, 0), 0) }},
 		"confirmed": {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestHolderCounts(t *testing.T) {
+func TestHolderCountsRepeatedGrantsOnce(t *testing.T) {
 	is := is.New(t)
 	h, g := newHolder()
 	h.Adopt(1, 0)
@@ -99,17 +99,17 @@
 	is.True(!g.Acquire(time.Second))
 }
 
-func TestHolderAdopt(t *testing.T) {
+func TestHolderAdoptClaimsSlotsOfTheOldTerm(t *testing.T) {
 	tests := map[string]struct {
 		now      time.Duration
 		accepted int
 		claim    int
 		limit    int
 	}{
-		"alive and accepted":   {accepted: 3, claim: 3, limit: 3},
-		"alive, partly":        {accepted: 2, claim: 3, limit: 2},
-		"alive and refused":    {claim: 3},
-		"run out: in use only": {now: lifetime, accepted: 1, claim: 1, limit: 1},
+		"valid, accepted":         {accepted: 3, claim: 3, limit: 3},
+		"valid, accepted in part": {accepted: 2, claim: 3, limit: 2},
+		"valid, refused":          {claim: 3},
+		"expired, in use only":    {now: lifetime, accepted: 1, claim: 1, limit: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -120,11 +120,11 @@
 			h.Grant(grant(1, 1, 3, 0), 0)
 			is.True(g.Acquire(0))
 			h.Adopt(2, tt.now)
-			is.Equal(h.Return(3), 0) // not before the claim is settled
+			is.Equal(h.Return(3), 0) // nothing is returned before the claim is settled
 			h.Grant(grant(1, 0, 6, 0), tt.now)
 			r := h.Report(tt.now, 0, 0)
 			is.Equal(r.Servers[0].Claimed, tt.claim)
-			is.Equal(h.End(), lifetime) // the claim lives no longer by itself
+			is.Equal(h.End(), lifetime) // a claim alone does not extend the end
 			h.Grant(grant(2, r.Seq, 0, tt.accepted), tt.now)
 			limit, _ := h.Counts()
 			is.Equal(limit, tt.limit)
