--- a/internal/slots/gate/gate.go
+++ b/internal/slots/gate/gate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Forever is the end of a Gate whose slots don't run out.
+// Forever is the end of a Gate whose slots do not expire.
 const Forever time.Duration = math.MaxInt64
 
 const (
@@ -14,7 +14,8 @@
 	usedMask = 1<<usedBits - 1
 	oneLimit = 1 << usedBits
 
-	// cacheLine is the size of a Gate, so that two of them don't share a line.
+	// cacheLine is the size of a Gate, so that adjacent Gates in a slice do not
+	// share a cache line.
 	cacheLine = 64
 )
 
@@ -44,14 +45,14 @@
 	}
 }
 
-// Release gives back a slot that Acquire took.
+// Release releases a slot that Acquire took.
 func (g *Gate) Release() { g.state.Add(^uint64(0)) }
 
 // Raise adds n slots to the limit.
 func (g *Gate) Raise(n int) { g.state.Add(uint64(n) * oneLimit) }
 
-// Lower takes up to n idle slots out of the limit and returns how many it
-// took.
+// Lower reduces the limit by as many as n idle slots and returns by how many. The
+// limit stays at or above the number of slots in use.
 func (g *Gate) Lower(n int) int {
 	for {
 		old := g.state.Load()
@@ -66,8 +67,8 @@
 	}
 }
 
-// Cut takes n slots out of the limit, which may fall below the number of slots
-// in use but not below 0.
+// Cut reduces the limit by n slots. The limit may fall below the number of slots
+// in use, but not below 0.
 func (g *Gate) Cut(n int) {
 	for {
 		old := g.state.Load()
@@ -94,12 +95,12 @@
 	return int(s >> usedBits), int(s & usedMask)
 }
 
-// SetEnd sets the time from which no slot can be taken.
+// SetEnd sets the time from which no slot can be acquired.
 func (g *Gate) SetEnd(end time.Duration) { g.end.Store(int64(end)) }
 
-// End returns the time from which no slot can be taken.
+// End returns the time from which no slot can be acquired.
 func (g *Gate) End() time.Duration { return time.Duration(g.end.Load()) }
 
-// SetClosed closes the gate, or opens it again; no slot can be taken through a
-// closed gate.
+// SetClosed closes or reopens the gate; no slot can be acquired while it is
+// closed.
 func (g *Gate) SetClosed(closed bool) { g.closed.Store(closed) }
--- a/internal/slots/gate/gate_test.go
+++ b/internal/slots/gate/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/internal/slots/gate"
 )
 
-func TestGateAcquire(t *testing.T) {
+func TestGateAcquireConditions(t *testing.T) {
 	tests := map[string]struct {
 		limit, used int
 		end         time.Duration
@@ -54,7 +54,7 @@
 	is.Equal(g.Lower(1), 0)
 }
 
-func TestGateConcurrent(t *testing.T) {
+func TestGateStaysWithinLimitUnderConcurrency(t *testing.T) {
 	is := is.New(t)
 	var (
 		g     gate.Gate
