--- a/internal/slots/split/doc.go
+++ b/internal/slots/split/doc.go
@@ -1,11 +1,11 @@
 // Package split divides a backend server's slots or connections evenly and
-// for good among a fixed list of entries.
+// statically among a fixed list of entries.
 //
-// The parts sum to the whole, whatever the entries know of each other, as
-// long as they agree on the list. What doesn't divide evenly goes to entries
-// that follow each other in the list, from a place that depends on the
-// server's name, so that the remainders of many servers spread over all
-// entries and a change of one server moves no other's.
+// The shares sum to the total without any communication between the entries, as
+// long as all use the same list. The remainder of the division goes, one each, to
+// consecutive entries of the list, starting at a position that is a hash of the
+// server's name. So the remainders of many servers spread over all entries, and a
+// change of one server does not change the shares of another.
 //
 // # Usage
 //
--- a/internal/slots/split/split.go
+++ b/internal/slots/split/split.go
@@ -6,9 +6,9 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Share returns the part of total that the entry at index, counted from 0 in a
-// list of entries, may use of the server. It is 0 for an index outside the
-// list.
+// Share returns the share of the server's total that the entry at index, counted
+// from 0 in a list with the given number of entries, may use. It is 0 for an
+// index outside the list.
 func Share(server id.Server, total, entries, index int) int {
 	if index < 0 || index >= entries || total <= 0 {
 		return 0
--- a/internal/slots/split/split_test.go
+++ b/internal/slots/split/split_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestShareOutsideTheList(t *testing.T) {
+func TestShareIsZeroOutsideTheList(t *testing.T) {
 	is := is.New(t)
 	is.Equal(split.Share("a", 6, 7, -1), 0)
 	is.Equal(split.Share("a", 6, 7, 7), 0)
