--- a/internal/slots/demand/doc.go
+++ b/internal/slots/demand/doc.go
@@ -1,11 +1,11 @@
-// Package demand decides how many slots an entry asks of which home, and how
-// many idle ones it gives back.
+// Package demand decides how many slots an entry asks of which home entry, and
+// how many idle slots it returns.
 //
-// An entry keeps a few idle slots of each service in reserve, so that the next
-// request needn't wait for a slot to be moved. Below the reserve it asks the
-// nearest homes that have spare slots. What nobody can spare it asks of homes
-// that it reports to anyway. Well above the reserve it gives idle slots of the
-// farthest homes back.
+// An entry keeps a reserve of a few idle slots per service, so that the next
+// request does not have to wait until a slot is granted. Below the reserve's low
+// mark it asks the nearest homes that have spare slots. Demand that no home can
+// cover with spare slots is added to the reports that are due anyway. Above the
+// high mark it returns idle slots to the farthest homes.
 //
 // # Usage
 //
--- a/internal/slots/demand/policy.go
+++ b/internal/slots/demand/policy.go
@@ -12,35 +12,39 @@
 )
 
 type (
-	// Policy sets the reserve of a service at one entry, in slots.
+	// Policy sets the reserve of idle slots of a service at one entry.
 	Policy struct {
 		// Low is the number of idle slots below which the entry asks for more.
 		Low int
-		// High is the number above which it gives some back.
+		// High is the number of idle slots above which it returns some.
 		High int
 	}
 
-	// Bucket is what an entry knows of one bucket of the service.
+	// Bucket is an entry's state of one bucket of the service.
 	Bucket struct {
-		// Distance is the one-way delay to the servers.
+		// Distance is the one-way network delay to the servers.
 		Distance time.Duration
-		// Idle is the number of slots that the entry has and doesn't use.
+		// Idle is the number of slots that the entry holds and does not use.
 		Idle int
-		// Spare is the number of slots that nobody else used, by the home.
+		// Spare is the number of slots that no other entry used, as last
+		// reported by the home.
 		Spare int
-		// Asked is the number of slots asked for in a report under way.
+		// Asked is the number of slots asked for in a report that is not
+		// answered yet.
 		Asked int
-		// Busy tells that a report is under way.
+		// Busy means that no report may be sent now, for example because one
+		// is not answered yet.
 		Busy bool
-		// Due tells that a report is due anyway.
+		// Due means that a report is due regardless of demand.
 		Due bool
 	}
 )
 
-// Default returns the reserve of an entry for which nothing else is set.
+// Default returns the default reserve: one slot at least, two at most.
 func Default() Policy { return Policy{Low: defaultLow, High: defaultHigh} }
 
-// Wants appends how many slots to ask of each bucket's home.
+// Wants returns how many slots to ask of each bucket's home, for the given number
+// of waiting requests. It reuses the memory of wants.
 func (p Policy) Wants(waiting int, buckets []Bucket, wants []int) []int {
 	wants = slices.Grow(wants, len(buckets))[:len(buckets)]
 	clear(wants)
@@ -72,7 +76,8 @@
 	return wants
 }
 
-// Returns appends how many idle slots of each bucket to give back.
+// Returns returns how many idle slots of each bucket to return to its home. It
+// reuses the memory of returns.
 func (p Policy) Returns(waiting int, buckets []Bucket, returns []int) []int {
 	returns = slices.Grow(returns, len(buckets))[:len(buckets)]
 	clear(returns)
@@ -90,7 +95,8 @@
 	return returns
 }
 
-// nearest returns the indexes of the buckets by distance, then by spare slots.
+// nearest returns the indexes of the buckets in order of increasing distance, then
+// of decreasing spare slots.
 func nearest(buckets []Bucket) []int {
 	order := make([]int, len(buckets))
 	for i := range order {
--- a/internal/slots/demand/policy_test.go
+++ b/internal/slots/demand/policy_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotpier/shallotpier/internal/slots/demand"
 )
 
-func TestPolicy(t *testing.T) {
+func TestPolicyWantsAndReturns(t *testing.T) {
 	const near, far = time.Millisecond, 12 * time.Millisecond
 	tests := map[string]struct {
 		waiting int
@@ -25,23 +25,23 @@
 			buckets: []demand.Bucket{{Distance: far, Spare: 9}, {Distance: near, Spare: 2}},
 			wants:   []int{1, 2}, returns: []int{0, 0},
 		},
-		"waiting counts": {
+		"waiting requests add to the demand": {
 			waiting: 2, buckets: []demand.Bucket{{Spare: 9}},
 			wants: []int{5}, returns: []int{0},
 		},
-		"asked counts": {
+		"slots asked for reduce the demand": {
 			buckets: []demand.Bucket{{Asked: 2, Busy: true, Spare: 9}, {Spare: 9}},
 			wants:   []int{0, 1}, returns: []int{0, 0},
 		},
-		"none to spare": {
+		"no spare slots: due reports share the demand": {
 			buckets: []demand.Bucket{{Due: true}, {Due: true}, {}},
 			wants:   []int{2, 1, 0}, returns: []int{0, 0, 0},
 		},
-		"surplus goes back to the farthest": {
+		"surplus is returned to the farthest": {
 			buckets: []demand.Bucket{{Distance: near, Idle: 5}, {Distance: far, Idle: 4}},
 			wants:   []int{0, 0}, returns: []int{0, 3},
 		},
-		"nothing back while requests wait": {
+		"nothing is returned while requests wait": {
 			waiting: 3, buckets: []demand.Bucket{{Idle: 9}},
 			wants: []int{0}, returns: []int{0},
 		},
