--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -14,32 +14,32 @@
 )
 
 type (
-	// BucketPlan is what the service files say of one bucket.
+	// BucketPlan is the configuration of one bucket, from the service files.
 	BucketPlan struct {
-		// Slots is what its home divides.
+		// Slots lists the servers with the slots that the home divides.
 		Slots []ledger.Slots
-		// Longest is the longest time a request may run, with its margin.
+		// Longest is the longest time that a request may run, margin included.
 		Longest time.Duration
 	}
 
-	// bucket is what an entry keeps of one bucket.
+	// bucket is an entry's state of one bucket.
 	bucket struct {
-		key      wire.Bucket
-		holder   holder.Holder
-		ledger   *ledger.Ledger
-		plan     *BucketPlan
-		reported time.Duration
-		asked    int
-		busy     bool
-		urgent   bool
-		owed     int
-		keep     bool
-		// silent is set while the home doesn't answer.
-		silent bool
+		key        wire.Bucket
+		holder     holder.Holder
+		ledger     *ledger.Ledger
+		plan       *BucketPlan
+		lastReport time.Duration
+		asked      int
+		busy       bool
+		urgent     bool
+		owed       int
+		keep       bool
+		// unresponsive is set while the home does not answer reports.
+		unresponsive bool
 	}
 )
 
-// Plan sorts the servers of the files into buckets. A server's connections are
+// Plan groups the servers of the files into buckets. A server's connections are
 // divided evenly among the entries, and margin is added to the longest deadline
 // of its service.
 func Plan(files []*service.File, entries int, margin time.Duration) map[wire.Bucket]*BucketPlan {
@@ -67,9 +67,9 @@
 
 func newBucket(n *Node, key wire.Bucket) *bucket {
 	return &bucket{
-		key:      key,
-		reported: -n.Renew,
-		plan:     &BucketPlan{},
+		key:        key,
+		lastReport: -n.Renew,
+		plan:       &BucketPlan{},
 		holder: holder.Holder{
 			Bucket:   key,
 			Lifetime: n.Lifetime,
@@ -95,9 +95,10 @@
 	}
 }
 
-// govern keeps the ledger in step with this entry's authority. The books of a
-// home are kept after its authority has passed, in case its next term follows.
-func (b *bucket) govern(n *Node, now time.Duration) {
+// updateLedger updates the ledger from this entry's authority as home. The ledger
+// is kept after the authority has expired, since its counts remain usable if this
+// entry also holds the next term.
+func (b *bucket) updateLedger(n *Node, now time.Duration) {
 	term, until, ok := n.Homes.Authority(b.key)
 	if !ok {
 		if b.ledger != nil {
@@ -115,14 +116,14 @@
 	if term == b.ledger.Term() {
 		b.ledger.SetAuthority(until)
 	}
-	b.ledger.Scatter = n.Leaving || b.plan.Longest > scatterFrom
+	b.ledger.Scatter = n.Leaving || b.plan.Longest > scatterAbove
 	if b.ledger.Tick(now) {
 		n.Homes.Raise(b.key)
 	}
 }
 
-// follow keeps the holder in step with what is known of the home.
-func (b *bucket) follow(n *Node, now time.Duration) {
+// updateHolder updates the holder's term and end from the home's lease.
+func (b *bucket) updateHolder(n *Node, now time.Duration) {
 	if _, term, ok := n.Homes.Home(b.key); ok {
 		b.holder.Adopt(term, now)
 	}
@@ -135,30 +136,31 @@
 	}
 }
 
-// view returns what the demand policy may know.
+// view returns the bucket's state for the demand policy.
 func (b *bucket) view(n *Node, now time.Duration, waiting int) demand.Bucket {
 	limit, used := b.holder.Counts()
 	renew, gap := n.Renew, reserveGap
 	if waiting > 0 {
-		renew, gap = min(renew, starvedRenew), starvedGap
+		renew, gap = min(renew, waitingRenew), waitingGap
 	}
 	v := demand.Bucket{
 		Spare: b.holder.Spare(), Asked: b.asked,
-		Busy: b.busy || now-b.reported < gap && !b.urgent,
-		Due:  b.urgent || now-b.reported >= renew,
+		Busy: b.busy || now-b.lastReport < gap && !b.urgent,
+		Due:  b.urgent || now-b.lastReport >= renew,
 	}
 	_, _, known := n.Homes.Home(b.key)
-	if b.silent || !known {
+	if b.unresponsive || !known {
 		v.Spare = 0
 	}
 	if !known {
-		v.Busy = true // there is nobody to ask
+		v.Busy = true // no home to send a report to
 	}
-	if b.silent || !known || now-b.reported >= askTrust {
+	if b.unresponsive || !known || now-b.lastReport >= askedTTL {
 		v.Asked = 0
 	}
-	// Slots that are idle while requests wait are of servers that these can't
-	// use, such as ones that they were sent to before or that are out.
+	// If requests wait, idle slots belong to servers that these requests can't
+	// use, for example because they were sent there before or because the
+	// server is ejected as an outlier.
 	if now < b.holder.End() && waiting == 0 {
 		v.Idle = max(0, limit-used)
 	}
@@ -168,7 +170,8 @@
 	return v
 }
 
-// offer hands slots of the servers to waiting requests; nil means all servers.
+// offer offers the free slots of the servers to waiting requests; nil means all
+// servers.
 func (b *bucket) offer(n *Node, servers []id.Server) {
 	if servers == nil {
 		for _, s := range b.plan.Slots {
--- a/internal/slots/node/node.go
+++ b/internal/slots/node/node.go
@@ -15,68 +15,72 @@
 )
 
 const (
-	starvedRenew = 50 * time.Millisecond
-	reserveGap   = 20 * time.Millisecond
-	starvedGap   = 5 * time.Millisecond
+	// waitingRenew is the longest time between two reports while requests wait.
+	waitingRenew = 50 * time.Millisecond
+	// reserveGap is the minimum time between two reports while none wait.
+	reserveGap = 20 * time.Millisecond
+	// waitingGap is the minimum time between two reports while requests wait.
+	waitingGap = 5 * time.Millisecond
 
-	// askTrust is how long slots that were asked for are counted on.
-	askTrust = 100 * time.Millisecond
+	// askedTTL is how long slots that were asked for count as expected.
+	askedTTL = 100 * time.Millisecond
 
-	// scatterFrom is the longest deadline above which homes keep no free
-	// slots: after the loss of a home they would be out of use for that long.
-	scatterFrom = time.Minute
+	// scatterAbove is the request duration above which homes keep no free
+	// slots: after the failure of a home they would be unusable for that long.
+	scatterAbove = time.Minute
 )
 
 type (
-	// Homes tells who is home of the buckets, on the clock of the Node.
+	// Homes looks up the homes of the buckets. Times are on the Node's clock.
 	Homes interface {
-		// Home returns the home of a bucket and its term, as last known.
+		// Home returns the last known home of a bucket and its term.
 		Home(wire.Bucket) (id.Instance, id.Term, bool)
 		// Authority returns the term in which this entry is home of a bucket
-		// and the time from which it isn't any more unless it renews its
-		// lease; false if it isn't now.
+		// and the time at which its lease expires unless it is renewed; false
+		// if it is not the home now.
 		Authority(wire.Bucket) (id.Term, time.Duration, bool)
 		// Confirmed returns the term that the last successful read of the
 		// store showed for a bucket, and when that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Duration, bool)
-		// Raise asks for a new term of a bucket that this entry is home of.
-		// Authority tells the new term once the store has it.
+		// Raise requests a new term of a bucket that this entry is home of.
+		// Authority returns the new term once it is written to the store.
 		Raise(wire.Bucket)
 	}
 
-	// Node is one entry's part. Its exported fields are set before its first
-	// use. It is not safe for concurrent use, but for its gates.
+	// Node is the slot sharing of one entry. Its exported fields are set before
+	// its first use. It is not safe for concurrent use, except for its gates.
 	Node struct {
-		// Self names this process.
+		// Self identifies this process.
 		Self peer.Sender
-		// Homes tells who is home.
+		// Homes looks up the homes of the buckets.
 		Homes Homes
-		// Gate returns the gate of a server, always the same.
+		// Gate returns the gate of a server, the same one at each call.
 		Gate func(id.Service, id.Server) *gate.Gate
-		// Offer hands free slots of a server to waiting requests.
+		// Offer offers the free slots of a server to waiting requests.
 		Offer func(id.Service, id.Server)
 		// Waiting returns how many requests wait for a service.
 		Waiting func(id.Service) int
-		// Distance returns the one-way delay to an availability zone; nil
-		// means that all are equally near.
+		// Distance returns the one-way network delay to an availability zone;
+		// nil means that all zones are equally near.
 		Distance func(id.Zone) time.Duration
-		// Lifetime is how long a grant lives after its renewal; the same at
-		// all entries.
+		// Lifetime is how long a grant is valid after its renewal; it must be
+		// the same at all entries.
 		Lifetime time.Duration
 		// Renew is the time between two reports to a home.
 		Renew time.Duration
-		// Demand sets the reserve kept of each service.
+		// Demand sets the reserve of idle slots of each service.
 		Demand demand.Policy
-		// Leaving makes the Node give back what isn't in use, and hand what is
-		// free at home to the other entries. It may be set at any time.
+		// Leaving makes the Node return its idle slots, and grant the free
+		// slots of its own buckets to the other entries. It may be set at any
+		// time.
 		Leaving bool
 
 		buckets map[wire.Bucket]*bucket
 		order   []*bucket
 	}
 
-	// Send is a message to another entry: a Report, whose answer goes to
-	// Answered, or a Grant, whose answer goes to Pushed.
+	// Send is a message to another entry: a Report, whose answer is passed to
+	// Answered, or a Grant, whose answer is passed to Pushed.
 	Send struct {
 		// To is the receiver. Its incarnation is known for a Grant only.
 		To peer.Sender
@@ -87,10 +91,11 @@
 	}
 )
 
-// ErrUnknownBucket means that no service file in force names the bucket.
+// ErrUnknownBucket means that the bucket is in no service file of the active
+// configuration.
 var ErrUnknownBucket = eris.New("bucket is not known")
 
-// Configure sets the buckets. One that is not named has no slots any more.
+// Configure sets the buckets. A bucket that is not in plans is left without slots.
 func (n *Node) Configure(plans map[wire.Bucket]*BucketPlan, now time.Duration) {
 	if n.buckets == nil {
 		n.buckets = map[wire.Bucket]*bucket{}
@@ -111,12 +116,12 @@
 	}
 }
 
-// Step looks at all buckets and returns the messages to send.
+// Step updates all buckets and returns the messages to send.
 func (n *Node) Step(now time.Duration) []Send {
 	var sends []Send
 	for _, b := range n.order {
-		b.govern(n, now)
-		b.follow(n, now)
+		b.updateLedger(n, now)
+		b.updateHolder(n, now)
 		sends = append(sends, n.pushes(b, now)...)
 	}
 	for first := 0; first < len(n.order); {
@@ -130,29 +135,30 @@
 	return sends
 }
 
-// Answered takes the answer to a report that Step returned, nil if none came.
+// Answered applies the answer to a report that Step returned, nil if there was
+// none.
 func (n *Node) Answered(r *wire.Report, grant *wire.Grant, now time.Duration) {
 	b := n.buckets[r.Bucket]
 	if b == nil {
 		return
 	}
-	b.busy, b.asked, b.silent = false, 0, grant == nil
+	b.busy, b.asked, b.unresponsive = false, 0, grant == nil
 	if grant != nil {
-		n.book(b, grant, now)
+		n.applyGrant(b, grant, now)
 	}
 }
 
-// Pushed takes the report that answers a grant. The result is the next message
-// to the same holder, if there is news for it.
+// Pushed applies the report that answers a grant. It returns the next grant to the
+// same holder, if that one gives it slots that the holder has not seen.
 func (n *Node) Pushed(to peer.Sender, r *wire.Report, now time.Duration) (Send, bool) {
 	grant, err := n.Report(to, r, now)
-	if err != nil || !news(&grant, r) {
+	if err != nil || !hasNewSlots(&grant, r) {
 		return Send{}, false
 	}
 	return Send{To: to, Grant: &grant}, true
 }
 
-// Report takes a holder's report to this entry as home.
+// Report applies a holder's report to this entry as home and returns the answer.
 func (n *Node) Report(from peer.Sender, r *wire.Report, now time.Duration) (wire.Grant, error) {
 	b := n.buckets[r.Bucket]
 	if b == nil || b.ledger == nil {
@@ -161,21 +167,22 @@
 	return b.ledger.Report(from, r, now)
 }
 
-// Grant takes a grant that a home sent on its own, and returns the answer.
+// Grant applies a grant that a home pushed, and returns the report that answers
+// it.
 func (n *Node) Grant(g *wire.Grant, now time.Duration) (wire.Report, error) {
 	b := n.buckets[g.Bucket]
 	if b == nil {
 		return wire.Report{}, ErrUnknownBucket
 	}
-	n.book(b, g, now)
-	waiting := n.lacking(b.key.Service, now)
+	n.applyGrant(b, g, now)
+	waiting := n.unmet(b.key.Service, now)
 	r := b.holder.Report(now, waiting, waiting)
 	r.Leaving = n.Leaving
 	return r, nil
 }
 
-// Handed tells, of a Node that is leaving, whether it has given all away but
-// what is in use, so that its leases may be released.
+// Handed reports whether a Node that is leaving has returned all idle slots and
+// has granted all free slots of its buckets, so that its leases may be released.
 func (n *Node) Handed() bool {
 	for _, b := range n.order {
 		if limit, used := b.holder.Counts(); limit > used {
@@ -188,8 +195,8 @@
 	return n.Leaving
 }
 
-// Reserved returns how many slots of the buckets that this entry is home of no
-// living holder can use, and of how many buckets it is home.
+// Reserved returns how many slots of this entry's own buckets are unavailable to
+// all live holders, and of how many buckets it is the home.
 func (n *Node) Reserved(now time.Duration) (slots, homes int) {
 	for _, b := range n.order {
 		if _, _, ok := n.Homes.Authority(b.key); ok && b.ledger != nil {
@@ -200,20 +207,20 @@
 	return slots, homes
 }
 
-// lacking returns how many requests of a service wait for slots that this entry
-// neither has nor has asked for.
-func (n *Node) lacking(svc id.Service, now time.Duration) int {
-	lack := n.Waiting(svc)
+// unmet returns how many waiting requests of a service exceed the slots that this
+// entry has idle or has asked for.
+func (n *Node) unmet(svc id.Service, now time.Duration) int {
+	unmet := n.Waiting(svc)
 	for _, b := range n.order {
 		if b.key.Service == svc {
-			v := b.view(n, now, lack)
-			lack -= v.Idle + v.Asked
+			v := b.view(n, now, unmet)
+			unmet -= v.Idle + v.Asked
 		}
 	}
-	return max(0, lack)
+	return max(0, unmet)
 }
 
-// balance asks for and gives back slots of one service.
+// balance requests and returns slots of one service.
 func (n *Node) balance(buckets []*bucket, now time.Duration) []Send {
 	waiting := n.Waiting(buckets[0].key.Service)
 	views := make([]demand.Bucket, 0, len(buckets))
@@ -242,8 +249,9 @@
 	return sends
 }
 
-// report makes a report, and takes it at once if this entry is home. To a home
-// whose term isn't known it says term 0, and the answer tells the term.
+// report creates a report to the home, and applies it directly if this entry is
+// the home. While the home's term is not known the report has term 0, and the
+// answer contains the term.
 func (n *Node) report(b *bucket, now time.Duration, want, waiting int) []Send {
 	home, _, ok := n.Homes.Home(b.key)
 	if !ok || (home == n.Self.Instance && b.holder.Term() == 0) {
@@ -251,7 +259,7 @@
 	}
 	r := b.holder.Report(now, want, waiting)
 	r.Leaving = n.Leaving
-	b.reported, b.urgent = now, false
+	b.lastReport, b.urgent = now, false
 	if home != n.Self.Instance {
 		b.busy, b.asked = true, want
 		return []Send{{To: peer.Sender{Instance: home}, Report: &r}}
@@ -261,12 +269,13 @@
 		return nil
 	}
 	sends := n.pushes(b, now)
-	n.book(b, &grant, now)
+	n.applyGrant(b, &grant, now)
 	return sends
 }
 
-// book takes a grant and gives back what it recalls, unless requests wait.
-func (n *Node) book(b *bucket, grant *wire.Grant, now time.Duration) {
+// applyGrant applies a grant and returns the slots that it recalls, unless
+// requests wait.
+func (n *Node) applyGrant(b *bucket, grant *wire.Grant, now time.Duration) {
 	if raised := b.holder.Grant(grant, now); len(raised) > 0 {
 		b.offer(n, raised)
 	}
@@ -276,7 +285,7 @@
 	}
 }
 
-// pushes returns the grants that this entry sends on its own as home.
+// pushes returns the grants that this entry pushes as home.
 func (n *Node) pushes(b *bucket, now time.Duration) []Send {
 	if b.ledger == nil {
 		return nil
@@ -285,7 +294,7 @@
 	for _, p := range b.ledger.Pushes() {
 		switch {
 		case p.To == n.Self:
-			n.book(b, &p.Grant, now)
+			n.applyGrant(b, &p.Grant, now)
 		case p.To.Instance != n.Self.Instance:
 			sends = append(sends, Send{To: p.To, Grant: &p.Grant})
 		}
@@ -293,8 +302,9 @@
 	return sends
 }
 
-// news tells whether a grant gives more than the holder's report knew.
-func news(grant *wire.Grant, r *wire.Report) bool {
+// hasNewSlots reports whether a grant gives more slots than the holder's report
+// had seen.
+func hasNewSlots(grant *wire.Grant, r *wire.Report) bool {
 	seen := map[id.Server]uint64{}
 	for i := range r.Servers {
 		seen[r.Servers[i].Server] = r.Servers[i].Seen
