--- a/internal/slots/wire/doc.go
+++ b/internal/slots/wire/doc.go
@@ -1,11 +1,12 @@
-// Package wire holds the two messages by which a holder and a home of slots
-// keep their books together.
+// Package wire defines the two messages by which the holders and the home of a
+// bucket keep their slot counts consistent.
 //
-// A holder sends a [Report], the home answers with a [Grant]. The home may
-// also send a Grant on its own, which the holder answers with a Report. Both
-// messages state totals that only rise within a lease term, never changes:
-// slots given so far, slots returned so far. Receiving one twice, late or out
-// of order does nothing, and what a lost message said the next one says again.
+// A holder sends a [Report], the home answers with a [Grant]. The home may also
+// push a Grant, which the holder answers with a Report. Both messages contain
+// totals that never decrease within a lease term, not differences: slots given so
+// far and slots returned so far. A duplicated, delayed or reordered message
+// therefore has no effect, and the message that follows a lost one repeats its
+// content.
 //
 // # Usage
 //
--- a/internal/slots/wire/wire_test.go
+++ b/internal/slots/wire/wire_test.go
@@ -9,20 +9,20 @@
 	"github.com/shallotpier/shallotpier/internal/slots/wire"
 )
 
-func TestReportDecode(t *testing.T) {
+func TestReportDecodeValidates(t *testing.T) {
 	tests := map[string]struct {
 		give string
 		ok   bool
 	}{
-		"whole":            {give: `{"service":"registry","zone":"z-1","term":3,"seq":1,"servers":[{"server":"a","claimed":2,"seen":3,"returned":5,"used":1}]}`, ok: true},
-		"no bucket":        {give: `{"seq":1}`},
-		"no number":        {give: `{"service":"registry","zone":"z-1"}`},
-		"negative want":    {give: `{"service":"registry","zone":"z-1","seq":1,"want":-1}`},
-		"bad name":         {give: `{"service":"Registry","zone":"z-1","seq":1}`},
-		"server twice":     {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a"},{"server":"a"}]}`},
-		"negative claim":   {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","claimed":-1}]}`},
-		"returned too far": {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","claimed":2,"seen":3,"returned":6}]}`},
-		"absurd":           {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","seen":18446744073709551615}]}`},
+		"complete":           {give: `{"service":"registry","zone":"z-1","term":3,"seq":1,"servers":[{"server":"a","claimed":2,"seen":3,"returned":5,"used":1}]}`, ok: true},
+		"no bucket":          {give: `{"seq":1}`},
+		"no sequence number": {give: `{"service":"registry","zone":"z-1"}`},
+		"negative want":      {give: `{"service":"registry","zone":"z-1","seq":1,"want":-1}`},
+		"bad name":           {give: `{"service":"Registry","zone":"z-1","seq":1}`},
+		"server twice":       {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a"},{"server":"a"}]}`},
+		"negative claim":     {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","claimed":-1}]}`},
+		"returned too many":  {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","claimed":2,"seen":3,"returned":6}]}`},
+		"count too large":    {give: `{"service":"registry","zone":"z-1","seq":1,"servers":[{"server":"a","seen":18446744073709551615}]}`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,17 +33,17 @@
 	}
 }
 
-func TestGrantDecode(t *testing.T) {
+func TestGrantDecodeValidates(t *testing.T) {
 	tests := map[string]struct {
 		give string
 		ok   bool
 	}{
-		"whole":           {give: `{"service":"registry","zone":"z-1","term":3,"servers":[{"server":"a","accepted":2,"given":3}]}`, ok: true},
+		"complete":        {give: `{"service":"registry","zone":"z-1","term":3,"servers":[{"server":"a","accepted":2,"given":3}]}`, ok: true},
 		"no bucket":       {give: `{"term":1}`},
 		"no term":         {give: `{"service":"registry","zone":"z-1"}`},
 		"negative recall": {give: `{"service":"registry","zone":"z-1","term":1,"recall":-1}`},
 		"server twice":    {give: `{"service":"registry","zone":"z-1","term":1,"servers":[{"server":"a"},{"server":"a"}]}`},
-		"absurd":          {give: `{"service":"registry","zone":"z-1","term":1,"servers":[{"server":"a","accepted":1073741825}]}`},
+		"count too large": {give: `{"service":"registry","zone":"z-1","term":1,"servers":[{"server":"a","accepted":1073741825}]}`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
