--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,23 +1,23 @@
-// Package lease holds leases with terms in the platform's store.
+// Package lease implements leases with fencing terms in the platform's store.
 //
-// A lease is one object. Its [Record] names the holder and a term, which rises
-// with each new holder. The term in the store is the authority: a holder may
-// act only while its last successful conditional write of the record is
+// A lease is one object. Its [Record] contains the holder and a term, which
+// increases with each new holder. The term in the store is authoritative: a holder
+// may act only while its last successful conditional write of the record is
 // younger than the lease's lifetime, by its own monotonic clock. The write is
-// conditional on the version last seen, so neither a read of an older state
-// nor a write that lands late can confirm a term that is over.
+// conditional on the version last read, so neither a stale read nor a delayed
+// write can confirm a term that has ended.
 //
-// A lease is taken over only if its holder released it, if the platform says
-// that the holder's instance is gone, if the taker is a later process of the
-// same instance, or, for a timed lease alone, if the record did not change for
-// a lifetime. A taker raises the term. Unless the holder released the lease or
-// a timed lease ran out, it then waits one lifetime before it acts, so that a
-// former holder that was merely paused has stopped by its own clock.
+// A process takes over a lease only if its holder released it, if the platform
+// reports that the holder's instance is gone, if the process is a later process of
+// the same instance, or, for a timed lease only, if the record did not change for
+// a lifetime. The new holder raises the term. Unless the lease was released or a
+// timed lease expired, the new holder then waits one lifetime before it acts, so
+// that a former holder that was only paused has stopped by its own clock.
 //
-// What a holder grants to others must end with its right: [Holder.Remaining]
-// is how long a grant may live, counted by its receiver from when it asked.
-// [Holder.FreeAt] is when also requests that were admitted under the last such
-// grant have ended.
+// What a holder grants to others must expire together with its lease:
+// [Holder.Remaining] is how long a grant may be valid, counted by its receiver
+// from the time of its request. [Holder.FreeAt] is the time after which requests
+// that were admitted under the last such grant have ended too.
 //
 // [Holder] is the state machine of one lease, without I/O or clock. [Keeper]
 // runs many of them against a store.
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -13,46 +13,46 @@
 
 const (
 	tick     = time.Second
-	lifetime = 2 * tick // the margin of a tenth makes a holder stop at the tick before
+	lifetime = 2 * tick // with the margin of a tenth a holder stops at the tick before
 	deadline = tick
-	horizon  = 5 // ticks that are explored
-	maxOps   = 1 // further writes of the first process; the second has one more
+	horizon  = 5 // explored ticks
+	maxOps   = 1 // further writes of the first process; the second makes one more
 )
 
 type (
-	// op is a write on its way. It may take effect at any time, or never, and
+	// op is a write in flight. It may take effect at any time, or never, and
 	// its answer may be lost.
 	op struct {
 		write     lease.Write
 		began     int
-		underWay  bool
+		inFlight  bool
 		effective bool
 		conflict  bool
 		version   store.Version
 	}
 
-	// model is two processes, a store, and all that is under way. It is a
-	// comparable value, so that states met before are recognised.
+	// model is the state of two processes, a store, and the writes in flight. It
+	// is comparable, so that states visited before are recognised.
 	model struct {
 		now     int
 		record  lease.Record
 		version store.Version
 		holders [2]lease.Holder
 		ops     [2]op
-		stray   op // a write that its process no longer waits for
+		stray   op // a write whose process no longer awaits the answer
 		begun   [2]int
-		checked [2]int // end of the grant that a check allowed; the act is to come
-		ends    [2]int // the latest end of a grant that was given
-		gone    bool   // the platform says that process 0's instance is gone
+		checked [2]int // end of the grant that a check allowed and that is not given yet
+		ends    [2]int // latest end of a given grant
+		gone    bool   // the platform reports process 0's instance as gone
 		dead    bool   // process 0 never runs again
 		ticked  int    // when process 0 last ran
 	}
 
 	explorer struct {
 		timed     bool
-		unchecked bool                // acts without asking for the remaining time
-		ticks     bool                // processes note that they run, and outlast an outage
-		blind     bool                // a pause is not noticed
+		unchecked bool                // processes act without checking the remaining time
+		ticks     bool                // processes call Tick, so leases stay valid in an outage
+		blind     bool                // pauses are not detected
 		seen      map[uint64]struct{} // hashes of the states visited
 		seed      maphash.Seed
 		violation string
@@ -61,7 +61,8 @@
 
 func at(ticks int) time.Time { return time.Unix(0, 0).Add(time.Duration(ticks) * tick) }
 
-// horizon is shorter with ticks, which make for more states.
+// horizon returns the explored ticks, one less if processes call Tick, since that
+// gives more states.
 func (e *explorer) horizon() int {
 	if e.ticks {
 		return horizon - 1
@@ -69,7 +70,7 @@
 	return horizon
 }
 
-// start returns a world in which the first process has just taken the lease.
+// start returns a state in which the first process has just acquired the lease.
 func start(timed, ticks bool) model {
 	var m model
 	for i, name := range []id.Instance{"a", "b"} {
@@ -86,7 +87,7 @@
 	return m
 }
 
-// explore visits all states that can follow m.
+// explore visits all states reachable from m.
 func (e *explorer) explore(m model) {
 	key := maphash.Comparable(e.seed, m)
 	if _, ok := e.seen[key]; ok || e.violation != "" || m.now > e.horizon() {
@@ -95,10 +96,10 @@
 	e.seen[key] = struct{}{}
 	e.check(m)
 	e.pass(m)
-	if !m.gone && !e.timed && e.said(m) {
+	if !m.gone && !e.timed && e.mayReportGone(m) {
 		next := m
 		next.gone = true
-		e.explore(next) // the platform's word, true or not
+		e.explore(next) // a report of the platform, correct or not
 	}
 	e.land(m)
 	for i := range m.holders {
@@ -106,8 +107,8 @@
 	}
 }
 
-// pass lets time pass, which is also a pause of both processes; with ticks,
-// the first one runs, is paused, or has died.
+// pass advances the time by a tick, in which both processes may be paused; with
+// ticks, the first process runs, is paused, or has died.
 func (e *explorer) pass(m model) {
 	next := m
 	next.now++
@@ -131,38 +132,40 @@
 	}
 }
 
-// said tells whether the platform may say that the first process's instance is
-// gone. What outlasts an outage trusts that it doesn't say so of a process
-// that runs; one that stands still may be taken for gone and wake.
-func (e *explorer) said(m model) bool {
+// mayReportGone reports whether the platform may report the first process's
+// instance as gone. A lease that stays valid in an outage relies on the platform
+// not reporting a running process as gone; a paused process may be reported as
+// gone and resume later.
+func (e *explorer) mayReportGone(m model) bool {
 	return !e.ticks || m.dead || m.now-m.ticked >= int(lifetime/tick)
 }
 
-// check finds two processes that may act at once, and use of what a former
-// holder's grants may still cover.
+// check detects two processes that may act at the same time, and a process that
+// uses capacity on which requests admitted under a former holder's grants may still
+// be running.
 func (e *explorer) check(m model) {
 	a, b := m.holders[0].Remaining(at(m.now)) > 0, m.holders[1].Remaining(at(m.now)) > 0
 	if a && b {
-		e.violation = fmt.Sprintf("at %d both hold: %+v", m.now, m)
+		e.violation = fmt.Sprintf("at %d both processes hold the lease: %+v", m.now, m)
 	}
 	for i := range m.holders {
 		free := m.holders[i].FreeAt()
 		if !free.IsZero() && !at(m.now).Before(free) && m.ends[1-i] > 0 && m.now < m.ends[1-i]+int(deadline/tick) && m.holders[i].Remaining(at(m.now)) > 0 {
-			e.violation = fmt.Sprintf("at %d process %d uses what %d granted until %d: %+v", m.now, i, 1-i, m.ends[1-i], m)
+			e.violation = fmt.Sprintf("at %d process %d uses capacity that process %d granted until %d: %+v", m.now, i, 1-i, m.ends[1-i], m)
 		}
 	}
 }
 
-// land lets writes take effect at the store.
+// land applies writes in flight at the store.
 func (e *explorer) land(m model) {
 	for i := range m.ops {
-		if o := m.ops[i]; o.underWay && !o.effective && !o.conflict {
+		if o := m.ops[i]; o.inFlight && !o.effective && !o.conflict {
 			next := m
 			next.apply(&next.ops[i])
 			e.explore(next)
 		}
 	}
-	if m.stray.underWay {
+	if m.stray.inFlight {
 		next := m
 		next.apply(&next.stray)
 		next.stray = op{}
@@ -180,11 +183,11 @@
 	o.effective, o.version = true, m.version
 }
 
-// step lets one process do each thing that it may do next.
+// step explores each possible next action of one process.
 func (e *explorer) step(m model, i int) {
 	o := m.ops[i]
 	switch {
-	case o.underWay:
+	case o.inFlight:
 		if o.effective || o.conflict { // the answer arrives
 			next := m
 			next.ops[i] = op{}
@@ -210,7 +213,7 @@
 	}
 }
 
-// begin reads, or begins the next write, with or without a wish for the lease.
+// begin reads the record, or begins the next write, with the lease wanted or not.
 func (e *explorer) begin(m model, i int) {
 	if h := m.holders[i]; !h.Known() || h.Record() != m.record || h.Timed {
 		next := m
@@ -227,12 +230,13 @@
 			continue
 		}
 		next.begun[i]++
-		next.ops[i] = op{write: w, began: m.now, underWay: true}
+		next.ops[i] = op{write: w, began: m.now, inFlight: true}
 		e.explore(next)
 	}
 }
 
-// act checks, and after any pause gives a grant as the check allowed it.
+// act checks the remaining time, and after any pause gives a grant that ends when
+// the check allowed.
 func (e *explorer) act(m model, i int) {
 	if m.checked[i] != 0 {
 		next := m
@@ -251,17 +255,17 @@
 	}
 }
 
-func TestEveryInterleaving(t *testing.T) {
+func TestEveryInterleavingHasOneHolder(t *testing.T) {
 	tests := map[string]struct {
 		explorer explorer
 		broken   bool
 	}{
-		"lease":                        {explorer{}, false},
-		"timed lease":                  {explorer{timed: true}, false},
-		"act without the check":        {explorer{unchecked: true}, true},
-		"through outages":              {explorer{ticks: true}, false},
-		"outages, pause not noticed":   {explorer{ticks: true, blind: true}, true},
-		"timed, act without the check": {explorer{timed: true, unchecked: true}, true},
+		"lease":                            {explorer{}, false},
+		"timed lease":                      {explorer{timed: true}, false},
+		"act without a check":              {explorer{unchecked: true}, true},
+		"store outage":                     {explorer{ticks: true}, false},
+		"store outage, pause not detected": {explorer{ticks: true, blind: true}, true},
+		"timed, act without a check":       {explorer{timed: true, unchecked: true}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -16,43 +16,44 @@
 )
 
 const (
-	defaultLifetime = 15 * time.Second
-	roundsALifetime = 3
-	ticksALifetime  = 30
-	callTimeout     = 2 * time.Second
-	maxCalls        = 4
+	defaultLifetime   = 15 * time.Second
+	roundsPerLifetime = 3
+	ticksPerLifetime  = 30
+	callTimeout       = 2 * time.Second
+	maxCalls          = 4
 )
 
 type (
-	// Keeper takes, renews and gives back the leases below a prefix. Its
-	// exported fields must not change after Run began. It is safe for
+	// Keeper acquires, renews and releases the leases under a key prefix. Its
+	// exported fields must not change after Run was called. It is safe for
 	// concurrent use.
 	Keeper struct {
 		// Store is the platform's store.
 		Store store.Store
-		// Prefix begins the keys of the leases, such as "lease/home/".
+		// Prefix is the key prefix of the leases, such as "lease/home/".
 		Prefix string
 		// Self is this process.
 		Self Owner
-		// Lifetime is how long a confirmation lasts; 0 means 15 s. It must be
-		// the same at all entries.
+		// Lifetime is how long a confirmation is valid; 0 means 15 s. It must
+		// be the same at all entries.
 		Lifetime time.Duration
-		// Deadline is the longest deadline of a request; it bounds FreeAt.
+		// Deadline is the longest deadline of a request; it determines FreeAt.
 		Deadline time.Duration
-		// Timed lets leases be taken over that were not renewed for Lifetime.
+		// Timed allows the takeover of leases that were not renewed for
+		// Lifetime.
 		Timed bool
-		// Names lists the leases that exist, without the prefix.
+		// Names returns the names of all leases, without the prefix.
 		Names func() []string
-		// Want tells whether this process should hold a lease.
+		// Want reports whether this process should hold a lease.
 		Want func(name string) bool
-		// Sparse saves the reads of a process that neither wants nor holds a
-		// lease, so that reads grow with the leases and not with the fleet.
-		// Such a process doesn't learn who holds them.
+		// Sparse omits the reads of a process that neither wants nor holds a
+		// lease, so that the number of reads grows with the leases and not
+		// with the entries. Such a process has no record of the holders.
 		Sparse bool
-		// Gone tells whether the platform says that an instance has ended;
-		// nil means that it never does.
+		// Gone reports whether the platform lists an instance as gone; nil
+		// means never.
 		Gone func(id.Instance) bool
-		// Log takes an event for each change; nil means slog.Default.
+		// Log receives a message for each change; nil means slog.Default.
 		Log *slog.Logger
 
 		mu      sync.Mutex
@@ -60,19 +61,20 @@
 		readAt  time.Time
 	}
 
-	// Grant is the right to act under a term.
+	// Grant is the permission to act in a term.
 	Grant struct {
 		// Term is the term held.
 		Term id.Term `json:"term"`
-		// Remaining is how long it is held for, counted from the call.
+		// Remaining is how long the lease is valid, counted from the call.
 		Remaining time.Duration `json:"remaining"`
-		// FreeAt is when nothing granted under earlier terms can be running.
+		// FreeAt is the time after which no request admitted in an earlier
+		// term can still be running.
 		FreeAt time.Time `json:"freeAt"`
 	}
 )
 
-// Held returns the right to act under a lease, false if this process has none
-// now. It must be asked right before each act.
+// Held returns the permission to act under a lease, false if this process does not
+// hold the lease now. It must be called right before each action.
 func (k *Keeper) Held(name string) (Grant, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -84,8 +86,8 @@
 	return g, g.Remaining > 0
 }
 
-// Record returns a lease as last seen and how old that knowledge may be; it is
-// false for a lease that was never seen.
+// Record returns the last read record of a lease and its staleness; false for a
+// lease that was never read.
 func (k *Keeper) Record(name string) (Record, time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -96,12 +98,12 @@
 	return h.record, time.Since(k.readAt), true
 }
 
-// Run keeps the leases until ctx ends, and then gives back those held.
+// Run acquires and renews leases until ctx ends, and then releases those held.
 func (k *Keeper) Run(ctx context.Context) error {
 	go k.tick(ctx)
 	for ctx.Err() == nil {
 		k.round(ctx, k.Want)
-		period := k.lifetime() / roundsALifetime
+		period := k.lifetime() / roundsPerLifetime
 		select {
 		case <-time.After(period*4/5 + rand.N(period/5)):
 		case <-ctx.Done():
@@ -113,9 +115,9 @@
 	return nil
 }
 
-// tick notes several times a lifetime that the process runs.
+// tick calls Tick on all holders several times per lifetime.
 func (k *Keeper) tick(ctx context.Context) {
-	ticker := time.NewTicker(k.lifetime() / ticksALifetime)
+	ticker := time.NewTicker(k.lifetime() / ticksPerLifetime)
 	defer ticker.Stop()
 	for {
 		select {
@@ -136,8 +138,8 @@
 	}
 }
 
-// Raise asks for a new term of a lease that this process holds. It returns at
-// once; Held tells the new term once the store has it.
+// Raise requests a new term of a lease that this process holds. It returns at once;
+// Held returns the new term once it is written to the store.
 func (k *Keeper) Raise(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,9 +148,9 @@
 	}
 }
 
-// round reads all leases by one call and makes the writes that are due.
+// round reads all leases in one call and makes the writes that are due.
 func (k *Keeper) round(ctx context.Context, want func(string) bool) {
-	if k.Sparse && !k.concerned(want) || !k.read(ctx) {
+	if k.Sparse && !k.involved(want) || !k.read(ctx) {
 		return
 	}
 	calls := make(chan struct{}, maxCalls)
@@ -163,13 +165,13 @@
 	wg.Wait()
 }
 
-// concerned tells whether this process wants or holds any lease.
-func (k *Keeper) concerned(want func(string) bool) bool {
+// involved reports whether this process wants or holds any lease.
+func (k *Keeper) involved(want func(string) bool) bool {
 	names := k.Names()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, name := range names {
-		if h, ok := k.holders[name]; want(name) || ok && h.mine() {
+		if h, ok := k.holders[name]; want(name) || ok && h.held() {
 			return true
 		}
 	}
@@ -215,7 +217,7 @@
 	}
 	value, err := json.Marshal(w.Record)
 	if err != nil {
-		return // a record always encodes
+		return // not reached: a Record can always be encoded
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -23,7 +23,7 @@
 	lifetimeOf = 15 * time.Second
 )
 
-// fleet is some keepers of the same leases over one store.
+// fleet is a number of keepers of the same leases on one store.
 type fleet struct {
 	leases  int
 	timed   bool
@@ -33,8 +33,8 @@
 	stop    []func()
 	gone    set
 	names   []string
-	down    set // can't reach the store
-	skipped set // wants no lease
+	down    set // instances that can't reach the store
+	skipped set // instances that want no lease
 }
 
 // set is a set of instance names.
@@ -60,7 +60,8 @@
 	}
 }
 
-// start starts the keeper of an instance; each wants the leases of its number.
+// start starts the keeper of instance i. It wants each lease n with n mod keepers
+// equal to i, and those of the stopped and skipped instances directly before it.
 func (f *fleet) start(i int, incarnation id.Incarnation) {
 	name := fmt.Sprint("entry-", i)
 	k := &lease.Keeper{
@@ -72,7 +73,7 @@
 		Want: func(lease string) bool {
 			var n int
 			_, _ = fmt.Sscanf(lease, "registry/zone-%d", &n)
-			for c := range keepers { // the next instance that is there
+			for c := range keepers { // the next instance that is present
 				want := (n + c) % keepers
 				if other := fmt.Sprint("entry-", want); !f.gone.has(other) && !f.skipped.has(other) {
 					return want == i
@@ -92,7 +93,7 @@
 	f.keepers, f.stop = append(f.keepers, k), append(f.stop, stop)
 }
 
-// holders returns who may act under a lease now.
+// holders returns the keepers that may act under a lease now.
 func (f *fleet) holders(name string) []int {
 	var all []int
 	for i, k := range f.keepers {
@@ -114,7 +115,7 @@
 	})
 }
 
-func TestEachLeaseHasItsHolderWithinTheBudget(t *testing.T) {
+func TestEachLeaseIsHeldWithinTheCallBudget(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		for i, name := range f.names {
 			is.Equal(f.holders(name), []int{i % keepers})
@@ -129,7 +130,7 @@
 }
 
 func TestSparseKeepersReadOnlyForTheirLeases(t *testing.T) {
-	inFleet(t, &fleet{leases: 2, sparse: true}, func(is *is.I, f *fleet) { // wanted by two of seven
+	inFleet(t, &fleet{leases: 2, sparse: true}, func(is *is.I, f *fleet) { // two of seven keepers want one
 		before := f.store.Counts()[platform.List]
 		time.Sleep(10 * time.Minute)
 		reads := f.store.Counts()[platform.List] - before
@@ -138,20 +139,20 @@
 	})
 }
 
-func TestStoreOutage(t *testing.T) {
+func TestLeasesStayHeldThroughAStoreOutage(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		f.store.SetFault(platform.Fault{Down: true})
 		for range 3 * 60 {
 			time.Sleep(time.Minute)
 			for i, name := range f.names {
-				is.Equal(f.holders(name), []int{i % keepers}) // the homes go on
+				is.Equal(f.holders(name), []int{i % keepers}) // still held during the outage
 			}
 		}
 		f.store.SetFault(platform.Fault{})
 		before := f.store.Counts()
 		time.Sleep(lifetimeOf / 3)
 		for i, name := range f.names {
-			is.Equal(f.holders(name), []int{i % keepers}) // the terms are unchanged
+			is.Equal(f.holders(name), []int{i % keepers}) // held in the same term after it
 			g, _ := f.keepers[i%keepers].Held(name)
 			is.Equal(g.Term, id.Term(1))
 		}
@@ -161,17 +162,17 @@
 	})
 }
 
-func TestTimedLeaseEndsInAnOutage(t *testing.T) {
+func TestTimedLeaseExpiresInAnOutage(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets, timed: true}, func(is *is.I, f *fleet) {
 		f.store.SetFault(platform.Fault{Down: true})
 		time.Sleep(lifetimeOf)
 		for _, name := range f.names {
-			is.Equal(len(f.holders(name)), 0) // nobody acts on an old confirmation
+			is.Equal(len(f.holders(name)), 0) // no keeper acts on an expired confirmation
 		}
 	})
 }
 
-func TestRaise(t *testing.T) {
+func TestRaiseRaisesTheTermOfAHeldLease(t *testing.T) {
 	inFleet(t, &fleet{leases: 1}, func(is *is.I, f *fleet) {
 		before, _ := f.keepers[0].Held(f.names[0])
 		f.keepers[0].Raise(f.names[0])
@@ -183,7 +184,7 @@
 	})
 }
 
-func TestTakeover(t *testing.T) {
+func TestTakeoverFromAnInstanceThatIsGone(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		name := f.names[0]
 		f.down.add("entry-0") // cut off from the store, but still running
@@ -195,14 +196,14 @@
 		is.Equal(f.holders(name), []int{1})
 		g, _ := f.keepers[1].Held(name)
 		is.Equal(g.Term, id.Term(2))
-		is.True(time.Until(g.FreeAt) > 0) // requests under the old term may still run
+		is.True(time.Until(g.FreeAt) > 0) // requests admitted in the old term may still run
 		r, _, ok := f.keepers[5].Record(name)
 		is.True(ok)
 		is.Equal(r.Holder.Instance, id.Instance("entry-1"))
 	})
 }
 
-func TestPlannedStopHandsOverAtOnce(t *testing.T) {
+func TestGracefulShutdownReleasesAtOnce(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		f.stop[0]()
 		f.gone.add("entry-0")
@@ -212,20 +213,20 @@
 	})
 }
 
-func TestLaterProcessOfTheSameInstance(t *testing.T) {
+func TestLaterProcessOfTheSameInstanceWaitsALifetime(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		f.down.add("entry-0")
-		f.stop[0]() // dies without a release
+		f.stop[0]() // stops without a release
 		f.down.remove("entry-0")
 		f.start(0, 2)
 		time.Sleep(lifetimeOf / 3)
-		is.Equal(len(f.holders(f.names[0])), 0) // waits for what its predecessor granted
+		is.Equal(len(f.holders(f.names[0])), 0) // waits until the grants of its predecessor have expired
 		time.Sleep(lifetimeOf)
 		is.Equal(f.holders(f.names[0]), []int{0})
 	})
 }
 
-func TestLostAnswersAndOlderStates(t *testing.T) {
+func TestNoSecondHolderWithLostAnswersAndStaleReads(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets}, func(is *is.I, f *fleet) {
 		f.store.SetHook(func(c platform.Call) platform.Fault {
 			return platform.Fault{Lost: c.Count%3 == 0, Stale: unit.Duration(c.Count%2) * unit.Duration(time.Minute)}
@@ -234,7 +235,7 @@
 			time.Sleep(time.Second)
 			for i, name := range f.names {
 				for _, holder := range f.holders(name) {
-					is.Equal(holder, i%keepers) // nobody else ever
+					is.Equal(holder, i%keepers) // never another keeper
 				}
 			}
 		}
@@ -246,7 +247,7 @@
 	})
 }
 
-func TestTimedLeaseMovesWithoutThePlatformsWord(t *testing.T) {
+func TestTimedLeaseIsTakenOverWithoutThePlatform(t *testing.T) {
 	inFleet(t, &fleet{leases: buckets, timed: true}, func(is *is.I, f *fleet) {
 		name := f.names[0]
 		f.down.add("entry-0")
@@ -259,7 +260,7 @@
 				moved = time.Since(began)
 			}
 		}
-		t.Logf("nobody else's duty for %v", moved)
+		t.Logf("lease taken over after %v", moved)
 		is.True(moved > 0)
 	})
 }
