--- a/internal/homes/doc.go
+++ b/internal/homes/doc.go
@@ -1,20 +1,20 @@
-// Package homes says which entry instance should be home of which backend
+// Package homes chooses which entry instance should be the home of which backend
 // servers.
 //
-// Backend servers are bucketed by service and availability zone; each bucket
-// has one home, which divides the slots of its servers among the entries. The
-// home should stand in the bucket's own zone, so that both tend to fall
-// together, else in its region, else anywhere. Among equals a hash decides, so
-// that every entry computes the same answer from the same candidates and the
-// loss of one entry moves only its own buckets.
+// Backend servers are bucketed by service and availability zone. Each bucket has
+// one home, which divides the slots of its servers among the entries. The
+// preferred home is an entry in the bucket's own zone, so that both tend to fail
+// together, then one in its region, then any entry. Among equally near entries
+// rendezvous hashing decides, so that every entry computes the same home from the
+// same candidates and the loss of one entry moves only its own buckets.
 //
-// The answer is a wish: who is home is what the lease in the platform's store
-// says.
+// The result is only a preference. The actual home is the holder of the bucket's
+// lease in the platform's store.
 //
 // # Usage
 //
 //	want, ok := homes.Choose(bucket, candidates)
 //	if ok && want == self {
-//		// try to take the bucket's lease
+//		// try to acquire the bucket's lease
 //	}
 package homes
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -15,7 +15,7 @@
 type (
 	// Bucket is the backend servers of one service in one availability zone.
 	Bucket struct {
-		// Service names the service.
+		// Service is the service's name.
 		Service id.Service
 		// Zone is the availability zone of the servers.
 		Zone id.Zone
@@ -23,9 +23,9 @@
 		Region id.Region
 	}
 
-	// Candidate is an entry instance that may become home.
+	// Candidate is an entry instance that may become the home.
 	Candidate struct {
-		// Instance names it.
+		// Instance is the instance's name.
 		Instance id.Instance
 		// Zone is its availability zone.
 		Zone id.Zone
@@ -40,8 +40,8 @@
 // "registry/tbilisi-core-1".
 func (b Bucket) Key() string { return string(b.Service) + "/" + string(b.Zone) }
 
-// Choose returns the candidate that should be home of the bucket; it is false
-// without candidates. The order of the candidates doesn't matter.
+// Choose returns the candidate that should be home of the bucket, false if there
+// are no candidates. The result does not depend on their order.
 func Choose(b Bucket, candidates []Candidate) (id.Instance, bool) {
 	var (
 		best  Candidate
@@ -49,7 +49,7 @@
 		score uint64
 	)
 	for i, c := range candidates {
-		n, s := proximityOf(b, c), hash(b, c)
+		n, s := proximityTo(b, c), hash(b, c)
 		if i == 0 || n > near || (n == near && (s > score || (s == score && c.Instance < best.Instance))) {
 			best, near, score = c, n, s
 		}
@@ -57,7 +57,7 @@
 	return best.Instance, len(candidates) > 0
 }
 
-func proximityOf(b Bucket, c Candidate) proximity {
+func proximityTo(b Bucket, c Candidate) proximity {
 	switch {
 	case b.Zone == c.Zone:
 		return sameZone
--- a/internal/homes/homes_test.go
+++ b/internal/homes/homes_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestChoosePrefersNear(t *testing.T) {
+func TestChoosePrefersTheNearestCandidate(t *testing.T) {
 	bucket := homes.Bucket{Service: "registry", Zone: "a1", Region: "a"}
 	near := homes.Candidate{Instance: "near", Zone: "a1", Region: "a"}
 	region := homes.Candidate{Instance: "region", Zone: "a2", Region: "a"}
@@ -24,7 +24,7 @@
 		"own zone first":  {give: []homes.Candidate{far, region, near}, want: "near", ok: true},
 		"then own region": {give: []homes.Candidate{far, region}, want: "region", ok: true},
 		"then anywhere":   {give: []homes.Candidate{far}, want: "far", ok: true},
-		"nobody":          {},
+		"no candidates":   {},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -51,9 +51,9 @@
 		was, _ := homes.Choose(b, all)
 		same, _ := homes.Choose(b, reversed)
 		now, _ := homes.Choose(b, rest)
-		is.Equal(was, same) // the order doesn't matter
+		is.Equal(was, same) // independent of the order
 		is.True(was == "entry-3" || now == was)
 		used[was]++
 	}
-	is.Equal(len(used), 20) // every entry is home of some
+	is.Equal(len(used), 20) // every entry is home of some bucket
 }
