--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -7,10 +7,11 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// BenchmarkTicket takes one ticket from its minting to its kept answer.
+// BenchmarkTicket measures the use of one ticket, from issuing it to storing the
+// answer.
 func BenchmarkTicket(b *testing.B) {
 	r := registry()
-	r.Tickets = 1 << 30
+	r.MaxTickets = 1 << 30
 	answer := &once.Answer{Status: 200, Body: make([]byte, 512)}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -1,19 +1,19 @@
-// Package once gives requests at-most-once execution.
+// Package once gives requests at-most-once execution by tickets, which are
+// idempotency keys issued by an entry.
 //
-// A [Registry] belongs to one incarnation of one entry instance. It mints
-// tickets that only itself will ever execute, each once, and remembers in
-// memory which it has. No store is asked: a ticket's execution is tied to the
-// one memory that could know of it, and is unknown for good once that memory
-// is gone. An entry that is asked to execute a ticket of another instance
-// hands the request on; a ticket of an earlier incarnation of its own instance
-// it refuses as unknown.
+// A [Registry] belongs to one incarnation of one entry instance. It issues tickets
+// that only this registry may execute, each at most once, and keeps in memory which
+// ones it has executed. It uses no store: only this memory records the execution of
+// a ticket, so the outcome is unknown once the process has ended. An entry that
+// receives a ticket of another instance forwards the request there. It refuses a
+// ticket of an earlier incarnation of its own instance as unknown.
 //
-// A ticket is bound to the first request that uses it, by [Binding]. A resend
-// of the same request while it runs waits for its end; later it gets the kept
-// answer. A request that provably did not run gives its ticket free again.
+// A ticket is bound to the first request that uses it, by [Binding]. A retry of the
+// same request waits while the request is running; afterwards it gets the stored
+// answer. If the request provably did not run, its ticket may be used again.
 //
-// Time is that of the incarnation, counted from its start by a clock that only
-// rises, so that a change of the wall clock can't bring a ticket back.
+// Times are ages of the incarnation, on a monotonic clock, so that a change of the
+// wall clock can't make an expired ticket valid again.
 //
 // # Usage
 //
@@ -23,7 +23,7 @@
 //	switch use.State {
 //	case once.Run:
 //		answer, code := execute()
-//		r.End(age, use, code, answer)
+//		r.End(use, code, answer)
 //	case once.Running:
 //		<-use.Done
 //	}
--- a/internal/once/histories_test.go
+++ b/internal/once/histories_test.go
@@ -22,8 +22,8 @@
 )
 
 type (
-	// history drives the registries of a few entries with what callers and
-	// faults may do to them, and counts what would have been executed.
+	// history applies random caller actions and faults to the registries of a
+	// few entries, and counts the executions.
 	history struct {
 		rng     *rand.Rand
 		nodes   [entries]*node
@@ -36,14 +36,14 @@
 		name id.Instance
 		reg  *once.Registry
 		age  time.Duration
-		// gone and paused processes answer nothing; a paused one wakes.
+		// paused processes do not answer until they resume.
 		paused bool
 		open   []open
 	}
 
 	ticket struct {
 		text string
-		// executions counts those that ran or may have.
+		// executions counts the executions that ran or may have run.
 		executions int
 	}
 
@@ -53,9 +53,10 @@
 	}
 )
 
-// TestAtMostOnceOverHistories generates histories of resends to the same and
-// to other entries, of entries that pause, wake and are replaced under the
-// same name, and of sends that ran, did not run or were lost.
+// TestAtMostOnceOverHistories checks that no ticket is executed twice in random
+// histories of retries to the same and to other entries, with entries that pause,
+// resume and are replaced under the same name, and with requests that ran, did not
+// run or whose outcome is unknown.
 func TestAtMostOnceOverHistories(t *testing.T) {
 	workers := runtime.GOMAXPROCS(0)
 	var wg sync.WaitGroup
@@ -93,7 +94,7 @@
 func (h *history) start(name id.Instance) *node {
 	h.next++
 	key := []byte(fmt.Sprintf("key of incarnation %d", h.next))
-	return &node{name: name, reg: &once.Registry{Instance: name, Incarnation: h.next, Key: key, Life: life, Memory: memory, Tickets: 4, Answers: 8}}
+	return &node{name: name, reg: &once.Registry{Instance: name, Incarnation: h.next, Key: key, TicketTTL: life, Retention: memory, MaxTickets: 4, MaxAnswerBytes: 8}}
 }
 
 func (h *history) run() {
@@ -114,7 +115,7 @@
 		case 9:
 			n.paused = !n.paused
 		case 10:
-			// Its executions are lost on the way; they may run to their end.
+			// The answers to its executions are lost; they may still finish.
 			h.nodes[i] = h.start(n.name)
 		case 11:
 			h.pass(time.Duration(h.rng.Int64N(int64(memory))))
@@ -128,9 +129,9 @@
 	}
 }
 
-// send uses a ticket at a node; a node that is asked for another's ticket
-// hands it on.
-func (h *history) send(n *node, k *ticket, handOn bool) {
+// send uses a ticket at a node. If forward is set, a node that receives another
+// instance's ticket forwards it.
+func (h *history) send(n *node, k *ticket, forward bool) {
 	if n.paused {
 		return
 	}
@@ -143,13 +144,13 @@
 		n.open = append(n.open, open{k, use})
 	case once.Elsewhere:
 		for _, to := range h.nodes {
-			if handOn && to.name == use.Instance {
+			if forward && to.name == use.Instance {
 				h.send(to, k, false)
 			}
 		}
 	case once.Refused, once.Ended:
 		if k.executions > 0 && use.Code.Ran() == result.No {
-			h.problem = fmt.Sprintf("code %d says that it did not run", use.Code)
+			h.problem = fmt.Sprintf("code %d means that the request did not run, but it was executed", use.Code)
 		}
 	}
 }
--- a/internal/once/registry.go
+++ b/internal/once/registry.go
@@ -8,35 +8,37 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// What may be done with a ticket.
+// Decisions on the use of a ticket.
 const (
-	// Refused means that the request must not run; Use.Code says why. It is
-	// the zero State.
+	// Refused means that the request must not run; Use.Code is the reason. It
+	// is the zero State.
 	Refused State = iota
-	// Run means that the request is to be executed now, by this call alone.
+	// Run means that the request is to be executed now, by this call only.
 	Run
-	// Running means that the request is being executed; Use.Done ends then.
+	// Running means that the request is being executed; Use.Done is closed
+	// when the execution has ended.
 	Running
-	// Ended means that the request was executed; Use.Code and Use.Answer tell
+	// Ended means that the request was executed; Use.Code and Use.Answer are
 	// its outcome.
 	Ended
-	// Elsewhere means that another instance, Use.Instance, has to be asked.
+	// Elsewhere means that the request has to be forwarded to another instance,
+	// Use.Instance.
 	Elsewhere
 )
 
 const (
-	defaultLife    = 10 * time.Minute
-	defaultMemory  = 24 * time.Hour
-	defaultTickets = 200_000
-	defaultAnswers = 32 << 20
+	defaultTicketTTL      = 10 * time.Minute
+	defaultRetention      = 24 * time.Hour
+	defaultMaxTickets     = 200_000
+	defaultMaxAnswerBytes = 32 << 20
 )
 
 type (
-	// State tells what may be done with a ticket.
+	// State is the decision on the use of a ticket.
 	State uint8
 
-	// Binding tells requests apart that use the same ticket: a digest over
-	// method, path and body.
+	// Binding distinguishes requests that use the same ticket. It is a digest
+	// of method, path and body.
 	Binding [32]byte
 
 	// Use is the decision on one use of a ticket.
@@ -45,74 +47,74 @@
 		State State
 		// Code is the outcome or the reason of a refusal.
 		Code result.Code
-		// Answer is the kept answer, nil if there is none.
+		// Answer is the stored answer, nil if there is none.
 		Answer *Answer
-		// Done ends when the running execution has.
+		// Done is closed when the running execution has ended.
 		Done <-chan struct{}
-		// Instance has to be asked if State is Elsewhere.
+		// Instance is where to forward the request if State is Elsewhere.
 		Instance id.Instance
 
 		number uint64
 	}
 
-	// Answer is a backend server's whole answer.
+	// Answer is the complete answer of a backend server.
 	Answer struct {
 		// Status is the HTTP status.
 		Status int
-		// Header holds what is passed on of the header.
+		// Header holds the header fields that are passed to the caller.
 		Header map[string][]string
 		// Trailer holds the trailer.
 		Trailer map[string][]string
-		// Body is the whole body.
+		// Body is the complete body.
 		Body []byte
-		// Server names the backend server.
+		// Server is the backend server's name.
 		Server id.Server
 	}
 
-	// Registry mints and executes the tickets of one incarnation. Its fields
-	// must not change after the first call. It is safe for concurrent use.
-	// Times are ages of the incarnation.
+	// Registry issues the tickets of one incarnation and decides on their use.
+	// Its fields must not change after the first call. It is safe for
+	// concurrent use. Times are ages of the incarnation.
 	Registry struct {
 		// Instance is the entry's name.
 		Instance id.Instance
-		// Incarnation is that of the entry's process.
+		// Incarnation is the incarnation of the entry's process.
 		Incarnation id.Incarnation
-		// Key signs tickets; it is 32 random bytes that no other incarnation
-		// has.
+		// Key is the key that signs tickets: 32 random bytes, different in
+		// each incarnation.
 		Key []byte
-		// Life is how long a ticket may be used; 0 is 10 min.
-		Life time.Duration
-		// Memory is how long after its end a used ticket is remembered; 0 is
-		// 24 h. Longer after its end nothing is said about a ticket.
-		Memory time.Duration
-		// Tickets is the greatest number of remembered tickets; 0 is 200,000.
-		// New requests are refused while it is reached.
-		Tickets int
-		// Answers is the greatest size of all kept answers in bytes; 0 is
-		// 32 MiB. The oldest are dropped first.
-		Answers int
-
-		mu    sync.Mutex
-		last  uint64
-		used  map[uint64]*record
-		order []uint64
-		kept  []uint64
-		size  int
+		// TicketTTL is how long a ticket may be used; 0 means 10 min.
+		TicketTTL time.Duration
+		// Retention is how long after its expiry a used ticket is kept; 0
+		// means 24 h. After that the outcome of the ticket is unknown.
+		Retention time.Duration
+		// MaxTickets is the maximum number of used tickets that are kept; 0
+		// means 200,000. New requests are refused at the maximum.
+		MaxTickets int
+		// MaxAnswerBytes is the maximum total size of the stored answers'
+		// bodies in bytes; 0 means 32 MiB. The oldest are dropped first.
+		MaxAnswerBytes int
+
+		mu        sync.Mutex
+		last      uint64
+		used      map[uint64]*record
+		order     []uint64
+		kept      []uint64
+		keptBytes int
 	}
 
 	record struct {
 		binding Binding
 		expires time.Duration
 		done    chan struct{}
-		// free tells that no execution is under way and that none ran.
-		free   bool
-		ended  bool
-		code   result.Code
-		answer *Answer
+		// unclaimed means that no execution is running and that none ran.
+		unclaimed bool
+		ended     bool
+		code      result.Code
+		answer    *Answer
 	}
 )
 
-// Mint returns a new ticket for the service.
+// Mint issues a new ticket for the service.
 func (r *Registry) Mint(age time.Duration, service id.Service) string {
 	r.mu.Lock()
 	r.last++
@@ -123,9 +125,9 @@
 }
 
 // Lifetime returns how long a new ticket may be used.
-func (r *Registry) Lifetime() time.Duration { return orDefault(r.Life, defaultLife) }
+func (r *Registry) Lifetime() time.Duration { return orDefault(r.TicketTTL, defaultTicketTTL) }
 
-// Begin decides on one use of a ticket. If it answers Run, End must be called
+// Begin decides on one use of a ticket. If the State is Run, End must be called
 // once the execution has ended.
 func (r *Registry) Begin(age time.Duration, service id.Service, ticket string, binding Binding) Use {
 	var t Ticket
@@ -137,32 +139,32 @@
 		return Use{State: Elsewhere, Instance: t.Instance, Code: result.TicketElsewhere}
 	case t.Incarnation != r.Incarnation:
 		return Use{Code: result.TicketElsewhere}
-	case !t.genuine(r.Key):
+	case !t.authentic(r.Key):
 		return Use{Code: result.TicketInvalid}
 	case t.Service != service:
 		return Use{Code: result.TicketMismatch}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(age)
+	r.evict(age)
 	rec := r.used[t.Number]
-	if rec != nil && !rec.free {
+	if rec != nil && !rec.unclaimed {
 		return rec.use(t.Number, binding)
 	}
-	return r.first(age, &t, binding)
+	return r.beginFirst(age, &t, binding)
 }
 
-// first decides on a genuine ticket whose request has not run.
-func (r *Registry) first(age time.Duration, t *Ticket, binding Binding) Use {
+// beginFirst decides on an authentic ticket whose request has not run.
+func (r *Registry) beginFirst(age time.Duration, t *Ticket, binding Binding) Use {
 	switch {
-	case age >= t.Expires+orDefault(r.Memory, defaultMemory):
+	case age >= t.Expires+orDefault(r.Retention, defaultRetention):
 		return Use{Code: result.TicketForgotten}
 	case age >= t.Expires:
 		return Use{Code: result.TicketInvalid}
 	}
 	rec := r.used[t.Number]
 	if rec == nil {
-		if len(r.used) >= orDefault(r.Tickets, defaultTickets) {
+		if len(r.used) >= orDefault(r.MaxTickets, defaultMaxTickets) {
 			return Use{Code: result.NoCapacity}
 		}
 		if r.used == nil {
@@ -172,21 +174,21 @@
 		r.used[t.Number] = rec
 		r.order = append(r.order, t.Number)
 	}
-	rec.free, rec.binding, rec.done = false, binding, make(chan struct{})
+	rec.unclaimed, rec.binding, rec.done = false, binding, make(chan struct{})
 	return Use{State: Run, Done: rec.done, number: t.Number}
 }
 
-// End notes the outcome of an execution. A code that says that the request
-// did not run gives the ticket free again.
+// End records the outcome of an execution. If the code means that the request did
+// not run, the ticket may be used again.
 func (r *Registry) End(use Use, code result.Code, answer *Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.used[use.number]
-	if rec == nil || rec.ended || rec.free {
+	if rec == nil || rec.ended || rec.unclaimed {
 		return
 	}
 	if code.Ran() == result.No {
-		rec.free = true
+		rec.unclaimed = true
 	} else {
 		rec.ended, rec.code = true, code
 		if answer != nil {
@@ -199,27 +201,27 @@
 func (r *Registry) keep(number uint64, rec *record, answer *Answer) {
 	rec.answer = answer
 	r.kept = append(r.kept, number)
-	r.size += len(answer.Body)
-	for r.size > orDefault(r.Answers, defaultAnswers) && len(r.kept) > 0 {
+	r.keptBytes += len(answer.Body)
+	for r.keptBytes > orDefault(r.MaxAnswerBytes, defaultMaxAnswerBytes) && len(r.kept) > 0 {
 		if old := r.used[r.kept[0]]; old != nil && old.answer != nil {
-			r.size -= len(old.answer.Body)
+			r.keptBytes -= len(old.answer.Body)
 			old.answer = nil
 		}
 		r.kept = r.kept[1:]
 	}
 }
 
-// forget drops what nobody is told about any more. Tickets end in about the
-// order of their first use, so that only the oldest are looked at.
-func (r *Registry) forget(age time.Duration) {
+// evict removes tickets after their retention. Tickets expire in about the order of
+// their first use, so that only the oldest are checked.
+func (r *Registry) evict(age time.Duration) {
 	for len(r.order) > 0 {
 		number := r.order[0]
 		rec := r.used[number]
-		if rec != nil && (!rec.ended && !rec.free || age < rec.expires+orDefault(r.Memory, defaultMemory)) {
+		if rec != nil && (!rec.ended && !rec.unclaimed || age < rec.expires+orDefault(r.Retention, defaultRetention)) {
 			return
 		}
 		if rec != nil && rec.answer != nil {
-			r.size -= len(rec.answer.Body)
+			r.keptBytes -= len(rec.answer.Body)
 			rec.answer = nil
 		}
 		delete(r.used, number)
--- a/internal/once/registry_test.go
+++ b/internal/once/registry_test.go
@@ -12,10 +12,10 @@
 )
 
 func registry() *once.Registry {
-	return &once.Registry{Instance: "entry-1", Incarnation: 7, Key: []byte("0123456789abcdef0123456789abcdef"), Life: time.Minute, Memory: time.Hour}
+	return &once.Registry{Instance: "entry-1", Incarnation: 7, Key: []byte("0123456789abcdef0123456789abcdef"), TicketTTL: time.Minute, Retention: time.Hour}
 }
 
-func TestRegistryBegin(t *testing.T) {
+func TestRegistryBeginDecisions(t *testing.T) {
 	a, b := once.Binding{1}, once.Binding{2}
 	other := registry()
 	other.Key = []byte("another key")
@@ -30,21 +30,21 @@
 		state once.State
 		code  result.Code
 	}{
-		"first":                {bind: a, state: once.Run},
+		"first use":            {bind: a, state: once.Run},
 		"running":              {prior: func(r *once.Registry, k string) { run(r, k) }, bind: a, state: once.Running},
 		"another request":      {prior: func(r *once.Registry, k string) { run(r, k) }, bind: b, code: result.TicketMismatch},
-		"after a proof of no":  {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.ShedByServer, nil) }, bind: b, state: once.Run},
-		"after an unknown":     {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.AnswerCut, nil) }, bind: a, state: once.Ended, code: result.AnswerCut},
+		"after it did not run": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.ShedByServer, nil) }, bind: b, state: once.Run},
+		"after an unknown end": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.AnswerCut, nil) }, bind: a, state: once.Ended, code: result.AnswerCut},
 		"after an answer":      {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, &once.Answer{}) }, bind: a, state: once.Ended, code: result.Replayed},
-		"answer not kept":      {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, nil) }, bind: a, state: once.Ended, code: result.AnswerNotKept},
+		"answer not stored":    {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, nil) }, bind: a, state: once.Ended, code: result.AnswerNotKept},
 		"used and expired":     {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.AnswerCut, nil) }, age: time.Minute, bind: a, state: once.Ended, code: result.AnswerCut},
 		"unused and expired":   {age: time.Minute, bind: a, code: result.TicketInvalid},
-		"too old":              {age: time.Minute + time.Hour, bind: a, code: result.TicketForgotten},
+		"past its retention":   {age: time.Minute + time.Hour, bind: a, code: result.TicketForgotten},
 		"another key":          {by: other, bind: a, code: result.TicketInvalid},
 		"another instance":     {by: renamed, bind: a, state: once.Elsewhere, code: result.TicketElsewhere},
 		"a later incarnation":  {by: restarted, bind: a, code: result.TicketElsewhere},
-		"used and long gone":   {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, nil) }, age: 2 * time.Hour, bind: a, code: result.TicketForgotten},
-		"free, then it ran on": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.ShedByServer, nil) }, age: time.Minute, bind: a, code: result.TicketInvalid},
+		"used, past retention": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, nil) }, age: 2 * time.Hour, bind: a, code: result.TicketForgotten},
+		"did not run, expired": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.ShedByServer, nil) }, age: time.Minute, bind: a, code: result.TicketInvalid},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestTicketBitsAreSigned(t *testing.T) {
+func TestChangedTicketIsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	r := registry()
 	raw, err := base64.RawURLEncoding.DecodeString(r.Mint(0, "registry"))
@@ -77,10 +77,10 @@
 	}
 }
 
-func TestKeptAnswersAreBounded(t *testing.T) {
+func TestStoredAnswersAreBounded(t *testing.T) {
 	is := is.New(t)
 	r := registry()
-	r.Answers = 10
+	r.MaxAnswerBytes = 10
 	var tickets []string
 	for range 4 {
 		k := r.Mint(0, "registry")
--- a/internal/once/ticket.go
+++ b/internal/once/ticket.go
@@ -19,24 +19,24 @@
 	maxTicket    = 256
 )
 
-// Ticket is a decoded ticket. Only the registry that minted it can tell
-// whether it is genuine.
+// Ticket is a decoded ticket. Only the registry that issued it can verify its
+// signature.
 type Ticket struct {
-	// Instance minted it.
+	// Instance is the instance that issued the ticket.
 	Instance id.Instance
-	// Incarnation of the instance minted it.
+	// Incarnation is the incarnation that issued it.
 	Incarnation id.Incarnation
-	// Service is the service it is for.
+	// Service is the service that it is valid for.
 	Service id.Service
-	// Number tells it from the incarnation's other tickets.
+	// Number is unique among the incarnation's tickets.
 	Number uint64
-	// Expires is the age of the incarnation at which it ends.
+	// Expires is the age of the incarnation at which the ticket expires.
 	Expires time.Duration
 
 	body, sum []byte
 }
 
-// UnmarshalText decodes a ticket and checks its form.
+// UnmarshalText decodes a ticket and validates its format, but not its signature.
 func (t *Ticket) UnmarshalText(text []byte) error {
 	if len(text) > maxTicket {
 		return eris.Errorf("ticket has %d characters, want at most %d", len(text), maxTicket)
@@ -46,7 +46,7 @@
 		return eris.New("ticket is not base64")
 	}
 	if len(raw) < fixedSize+2+sumSize || raw[0] != ticketFormat {
-		return eris.New("ticket has another format")
+		return eris.New("ticket is too short or of an unknown format version")
 	}
 	next := Ticket{
 		Incarnation: id.Incarnation(binary.BigEndian.Uint64(raw[1:])),
@@ -55,16 +55,16 @@
 		body:        raw[:len(raw)-sumSize], sum: raw[len(raw)-sumSize:],
 	}
 	if next.Expires < 0 {
-		return eris.New("ticket has an impossible end")
+		return eris.New("ticket has a negative expiry")
 	}
 	rest := next.body[fixedSize:]
 	service, rest, ok := cutName(rest)
 	if !ok || next.Service.UnmarshalText(service) != nil {
-		return eris.New("ticket names no service")
+		return eris.New("ticket has no valid service name")
 	}
 	instance, rest, ok := cutName(rest)
 	if !ok || len(rest) > 0 || next.Instance.UnmarshalText(instance) != nil {
-		return eris.New("ticket names no instance")
+		return eris.New("ticket has no valid instance name")
 	}
 	*t = next
 	return nil
@@ -81,7 +81,7 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, sum(key, b)...))
 }
 
-func (t *Ticket) genuine(key []byte) bool { return hmac.Equal(t.sum, sum(key, t.body)) }
+func (t *Ticket) authentic(key []byte) bool { return hmac.Equal(t.sum, sum(key, t.body)) }
 
 func sum(key, body []byte) []byte {
 	m := hmac.New(sha256.New, key)
@@ -89,7 +89,7 @@
 	return m.Sum(nil)[:sumSize]
 }
 
-// cutName splits a name with its length before it off b.
+// cutName splits a length-prefixed name off b.
 func cutName(b []byte) (name, rest []byte, ok bool) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
 		return nil, nil, false
