--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -9,60 +9,61 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// UsedAge is the greatest age of a region's used slots that a plan rests on.
-const UsedAge = time.Minute
+// MaxUsageAge is the maximum age of a region's number of used slots; a plan treats
+// an older number as unknown.
+const MaxUsageAge = time.Minute
 
 type (
-	// Member is a backend server that is to leave and come back in the round.
+	// Member is a backend server that is drained and restarted in the round.
 	Member struct {
 		// Name is the server's name.
 		Name id.Server
-		// Region is the region that it stands in.
+		// Region is the region that it is located in.
 		Region id.Region
-		// Slots is how many requests it runs at the same time.
+		// Slots is the server's concurrency limit.
 		Slots int
 	}
 
-	// Region is a region with the load that it must go on carrying.
+	// Region is a region with the load that it has to serve during the round.
 	Region struct {
 		// Name is the region's name.
 		Name id.Region
-		// Slots is the sum over all of its servers that serve now.
+		// Slots is the sum of the slots of all servers that serve now.
 		Slots int
 		// Floor is the share of the slots, 0 to 1, that must stay free.
 		Floor float64
-		// Used is the greatest number of slots in use that is expected.
+		// Used is the greatest expected number of slots in use.
 		Used measured.Value[float64]
 	}
 
 	// Job is a round of planned drains.
 	Job struct {
-		// Members lists the servers, in the order wished for.
+		// Members lists the servers, in the preferred order.
 		Members []Member
-		// Regions lists their regions.
+		// Regions lists the regions of the servers.
 		Regions []Region
 		// Drain is the drain time of each server.
 		Drain time.Duration
-		// Restart is how long a server is away after its drain.
+		// Restart is how long a server is unavailable after its drain.
 		Restart time.Duration
-		// Warm is how long its slow start takes.
-		Warm time.Duration
+		// SlowStart is the duration of its slow start.
+		SlowStart time.Duration
 	}
 
-	// Batch is servers that leave together.
+	// Batch is a group of servers that leave at the same time.
 	Batch struct {
 		// Start is when they leave, counted from the start of the round.
 		Start time.Duration
-		// Servers are their names.
+		// Servers lists their names.
 		Servers []id.Server
 	}
 
-	// Headroom is the least share of a region's slots that stays free.
+	// Headroom is the share of a region's slots that stays free in the round.
 	Headroom struct {
 		// Region is the region's name.
 		Region id.Region
-		// Least is the share in the fullest batch.
-		Least float64
+		// Min is the smallest share over all batches.
+		Min float64
 		// Floor is the region's floor.
 		Floor float64
 	}
@@ -71,15 +72,15 @@
 	Skipped struct {
 		// Server is the server's name.
 		Server id.Server
-		// Reason says why.
+		// Reason is the reason, as a clause without a capital or a period.
 		Reason string
 	}
 
-	// Plan says which servers leave together.
+	// Plan is the grouping of a round's servers into batches.
 	Plan struct {
-		// Batches is in the order of their start.
+		// Batches lists the batches in the order of their start.
 		Batches []Batch
-		// Headroom has an item for each region with a server in the round.
+		// Headroom lists each region with a server in the round, by name.
 		Headroom []Headroom
 		// Skipped lists the servers that are left out.
 		Skipped []Skipped
@@ -88,57 +89,58 @@
 	}
 
 	budget struct {
-		away  int // slots that may be away at the same time
-		most  int // slots that are away in the fullest batch
-		used  float64
-		valid bool
-		text  string
+		maxAway  int // slots that may be unavailable at the same time
+		peakAway int // slots that are unavailable in the largest batch
+		used     float64
+		valid    bool
+		reason   string
 	}
 )
 
-// NewPlan plans a round. Nothing in a region leaves if the region's load or
-// floor is unknown or impossible, nor does a server that is too large for its
-// region's headroom.
+// NewPlan plans a round. It skips all servers of a region whose load or floor is
+// unknown or impossible, and each server with more slots than its region's
+// headroom allows to be unavailable.
 func NewPlan(now time.Time, job Job) *Plan {
 	p := &Plan{job: job}
 	budgets := make(map[id.Region]*budget)
 	for _, r := range job.Regions {
-		budgets[r.Name] = budgetOf(now, r)
+		budgets[r.Name] = newBudget(now, r)
 	}
 	rest := p.admit(job.Members, budgets)
 	length := p.batchTime()
 	for len(rest) > 0 {
 		var batch Batch
 		batch.Start = time.Duration(len(p.Batches)) * length
-		batch.Servers, rest = take(rest, budgets)
+		batch.Servers, rest = fillBatch(rest, budgets)
 		p.Batches = append(p.Batches, batch)
 	}
 	p.setHeadroom(budgets)
 	return p
 }
 
-// Length returns how long the round takes, the last slow start included.
+// Length returns the duration of the round, the last slow start included.
 func (p *Plan) Length() time.Duration {
 	return time.Duration(len(p.Batches)) * p.batchTime()
 }
 
-// Fits tells whether the round takes at most a time.
+// Fits reports whether the round takes at most the given time.
 func (p *Plan) Fits(in time.Duration) bool { return p.Length() <= in }
 
-// Longest returns the longest drain time with which the round takes at most a
-// time; 0 if there is none.
-func (p *Plan) Longest(in time.Duration) time.Duration {
+// MaxDrainTime returns the longest drain time with which the round takes at most
+// the given time; 0 if there is none.
+func (p *Plan) MaxDrainTime(in time.Duration) time.Duration {
 	if len(p.Batches) == 0 {
 		return 0
 	}
-	return max(in/time.Duration(len(p.Batches))-max(p.job.Restart, 0)-max(p.job.Warm, 0), 0)
+	return max(in/time.Duration(len(p.Batches))-max(p.job.Restart, 0)-max(p.job.SlowStart, 0), 0)
 }
 
 func (p *Plan) batchTime() time.Duration {
-	return max(p.job.Drain, 0) + max(p.job.Restart, 0) + max(p.job.Warm, 0)
+	return max(p.job.Drain, 0) + max(p.job.Restart, 0) + max(p.job.SlowStart, 0)
 }
 
-// admit returns the members that can leave at all, and notes the others.
+// admit returns the members that can be in a batch, and records the others as
+// skipped.
 func (p *Plan) admit(members []Member, budgets map[id.Region]*budget) []Member {
 	var rest []Member
 	for _, m := range members {
@@ -148,10 +150,10 @@
 		case b == nil:
 			reason = "its region is not known"
 		case !b.valid:
-			reason = b.text
+			reason = b.reason
 		case m.Slots < 1:
 			reason = "it has no slots"
-		case m.Slots > b.away:
+		case m.Slots > b.maxAway:
 			reason = "without it the region's headroom would fall under its floor"
 		}
 		if reason != "" {
@@ -163,17 +165,17 @@
 	return rest
 }
 
-// take returns the servers that fit in one batch, and the members that remain.
-func take(members []Member, budgets map[id.Region]*budget) (names []id.Server, rest []Member) {
+// fillBatch returns the servers that fit into one batch, and the remaining members.
+func fillBatch(members []Member, budgets map[id.Region]*budget) (names []id.Server, rest []Member) {
 	away := make(map[id.Region]int)
 	for _, m := range members {
 		b := budgets[m.Region]
-		if away[m.Region]+m.Slots > b.away {
+		if away[m.Region]+m.Slots > b.maxAway {
 			rest = append(rest, m)
 			continue
 		}
 		away[m.Region] += m.Slots
-		b.most = max(b.most, away[m.Region])
+		b.peakAway = max(b.peakAway, away[m.Region])
 		names = append(names, m.Name)
 	}
 	return names, rest
@@ -181,9 +183,9 @@
 
 func (p *Plan) setHeadroom(budgets map[id.Region]*budget) {
 	for _, r := range p.job.Regions {
-		if b := budgets[r.Name]; b.valid && b.most > 0 {
-			free := float64(r.Slots-b.most) - b.used
-			p.Headroom = append(p.Headroom, Headroom{Region: r.Name, Least: free / float64(r.Slots), Floor: r.Floor})
+		if b := budgets[r.Name]; b.valid && b.peakAway > 0 {
+			free := float64(r.Slots-b.peakAway) - b.used
+			p.Headroom = append(p.Headroom, Headroom{Region: r.Name, Min: free / float64(r.Slots), Floor: r.Floor})
 		}
 	}
 	slices.SortFunc(p.Headroom, func(a, b Headroom) int {
@@ -194,17 +196,17 @@
 	})
 }
 
-func budgetOf(now time.Time, r Region) *budget {
-	used, state := r.Used.Read(now, UsedAge)
+func newBudget(now time.Time, r Region) *budget {
+	used, state := r.Used.Read(now, MaxUsageAge)
 	switch {
 	case state != measured.Fresh:
-		return &budget{text: "the load of its region is " + state.String()}
+		return &budget{reason: "the load of its region is " + state.String()}
 	case !(used >= 0) || math.IsInf(used, 0):
-		return &budget{text: "the load of its region is impossible"}
+		return &budget{reason: "the load of its region is negative or not finite"}
 	case !(r.Floor >= 0 && r.Floor < 1) || r.Slots < 1:
-		return &budget{text: "the floor or the slots of its region are impossible"}
+		return &budget{reason: "the floor or the slots of its region are out of range"}
 	}
 	const rounding = 1e-9
 	away := float64(r.Slots)*(1-r.Floor) - used + rounding
-	return &budget{away: int(math.Floor(max(away, 0))), used: used, valid: true}
+	return &budget{maxAway: int(math.Floor(max(away, 0))), used: used, valid: true}
 }
--- a/internal/drain/plan_test.go
+++ b/internal/drain/plan_test.go
@@ -14,9 +14,9 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// job is a service with servers spread evenly over three regions.
+// job returns a job for one service with servers spread evenly over three regions.
 func job(servers, slots int, floor, used float64) drain.Job {
-	j := drain.Job{Drain: 5 * time.Minute, Restart: time.Minute, Warm: 2 * time.Minute}
+	j := drain.Job{Drain: 5 * time.Minute, Restart: time.Minute, SlowStart: 2 * time.Minute}
 	for r := range 3 {
 		name := id.Region(fmt.Sprintf("r%d", r))
 		total := servers / 3 * slots
@@ -28,7 +28,7 @@
 	return j
 }
 
-func TestPlanInputs(t *testing.T) {
+func TestPlanSkipsInvalidInputs(t *testing.T) {
 	region := func(change func(*drain.Region)) func(*drain.Job) {
 		return func(j *drain.Job) { change(&j.Regions[0]) }
 	}
@@ -37,23 +37,23 @@
 		batches int
 		skipped int
 	}{
-		"half free":           {func(*drain.Job) {}, 2, 0},
-		"load missing":        {region(func(r *drain.Region) { r.Used = measured.Value[float64]{} }), 2, 10},
-		"load stale":          {region(func(r *drain.Region) { r.Used = measured.At(1.0, start.Add(-time.Hour)) }), 2, 10},
-		"load in the future":  {region(func(r *drain.Region) { r.Used = measured.At(1.0, start.Add(time.Hour)) }), 2, 10},
-		"load NaN":            {region(func(r *drain.Region) { r.Used = measured.At(math.NaN(), start) }), 2, 10},
-		"load infinite":       {region(func(r *drain.Region) { r.Used = measured.At(math.Inf(1), start) }), 2, 10},
-		"load negative":       {region(func(r *drain.Region) { r.Used = measured.At(-1.0, start) }), 2, 10},
-		"load absurd":         {region(func(r *drain.Region) { r.Used = measured.At(1e12, start) }), 2, 10},
-		"floor NaN":           {region(func(r *drain.Region) { r.Floor = math.NaN() }), 2, 10},
-		"floor negative":      {region(func(r *drain.Region) { r.Floor = -1 }), 2, 10},
-		"floor of all":        {region(func(r *drain.Region) { r.Floor = 1 }), 2, 10},
-		"no slots":            {region(func(r *drain.Region) { r.Slots = 0 }), 2, 10},
-		"region not known":    {func(j *drain.Job) { j.Regions = j.Regions[1:] }, 2, 10},
-		"server without":      {func(j *drain.Job) { j.Members[0].Slots = -1 }, 2, 1},
-		"server too large":    {func(j *drain.Job) { j.Members[0].Slots = 31 }, 2, 1},
-		"negative drain time": {func(j *drain.Job) { j.Drain = -time.Hour }, 2, 0},
-		"no members":          {func(j *drain.Job) { j.Members = nil }, 0, 0},
+		"half free":            {func(*drain.Job) {}, 2, 0},
+		"load missing":         {region(func(r *drain.Region) { r.Used = measured.Value[float64]{} }), 2, 10},
+		"load stale":           {region(func(r *drain.Region) { r.Used = measured.At(1.0, start.Add(-time.Hour)) }), 2, 10},
+		"load in the future":   {region(func(r *drain.Region) { r.Used = measured.At(1.0, start.Add(time.Hour)) }), 2, 10},
+		"load NaN":             {region(func(r *drain.Region) { r.Used = measured.At(math.NaN(), start) }), 2, 10},
+		"load infinite":        {region(func(r *drain.Region) { r.Used = measured.At(math.Inf(1), start) }), 2, 10},
+		"load negative":        {region(func(r *drain.Region) { r.Used = measured.At(-1.0, start) }), 2, 10},
+		"load too large":       {region(func(r *drain.Region) { r.Used = measured.At(1e12, start) }), 2, 10},
+		"floor NaN":            {region(func(r *drain.Region) { r.Floor = math.NaN() }), 2, 10},
+		"floor negative":       {region(func(r *drain.Region) { r.Floor = -1 }), 2, 10},
+		"floor of 1":           {region(func(r *drain.Region) { r.Floor = 1 }), 2, 10},
+		"no slots":             {region(func(r *drain.Region) { r.Slots = 0 }), 2, 10},
+		"region unknown":       {func(j *drain.Job) { j.Regions = j.Regions[1:] }, 2, 10},
+		"server without slots": {func(j *drain.Job) { j.Members[0].Slots = -1 }, 2, 1},
+		"server too large":     {func(j *drain.Job) { j.Members[0].Slots = 31 }, 2, 1},
+		"negative drain time":  {func(j *drain.Job) { j.Drain = -time.Hour }, 2, 0},
+		"no members":           {func(j *drain.Job) { j.Members = nil }, 0, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// In no batch is a region's headroom under its floor, and each server is in
-// one batch or named as skipped.
+// TestPlanKeepsFloors checks that no batch lowers a region's headroom below its
+// floor, and that each server is either in exactly one batch or skipped.
 func TestPlanKeepsFloors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := drain.Job{Drain: time.Minute}
@@ -110,13 +110,15 @@
 		}
 		for _, m := range j.Members {
 			if seen[m.Name] != 1 {
-				t.Fatalf("server %s is there %d times", m.Name, seen[m.Name])
+				t.Fatalf("server %s is in the plan %d times, want 1", m.Name, seen[m.Name])
 			}
 		}
 	})
 }
 
-// The tables in docs/design/drains.md are this test's log.
+// TestBothDeployments checks the headroom and the longest drain time for the
+// services of both example deployments. The tables in docs/design/drains.md are its
+// log.
 func TestBothDeployments(t *testing.T) {
 	services := []struct {
 		name           string
@@ -129,20 +131,20 @@
 			region := j.Regions[0].Slots
 			least := 0.0
 			if len(p.Headroom) > 0 {
-				least = p.Headroom[0].Least
+				least = p.Headroom[0].Min
 			}
-			left := int(math.Round((least + 0.4) * float64(region)))
+			remaining := int(math.Round((least + 0.4) * float64(region)))
 			t.Logf("%s: floor %.2f, %d batches, longest drain time in an hour %s, least headroom %.2f, p99 of waiting %.2f mean service times, skipped %d",
-				s.name, floor, len(p.Batches), p.Longest(time.Hour).Round(time.Second), least, waiting(left, 0.4*float64(region)), len(p.Skipped))
-			if least < floor-1e-9 || p.Longest(time.Hour) < 2*time.Minute {
-				t.Errorf("%s: floor %.2f: headroom %.2f, longest drain time %s", s.name, floor, least, p.Longest(time.Hour))
+				s.name, floor, len(p.Batches), p.MaxDrainTime(time.Hour).Round(time.Second), least, waiting(remaining, 0.4*float64(region)), len(p.Skipped))
+			if least < floor-1e-9 || p.MaxDrainTime(time.Hour) < 2*time.Minute {
+				t.Errorf("%s: floor %.2f: headroom %.2f, longest drain time %s", s.name, floor, least, p.MaxDrainTime(time.Hour))
 			}
 		}
 	}
 }
 
-// waiting returns the 99th percentile of waiting, in mean service times, for
-// one queue before c slots under an offered load, by the formula of Erlang C.
+// waiting returns the 99th percentile of the waiting time, in mean service times,
+// of one queue for c slots under an offered load, by the Erlang C formula.
 func waiting(c int, load float64) float64 {
 	b := 1.0
 	for k := 1; k <= c; k++ {
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -10,76 +10,80 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Outcomes that a forecast may have.
+// Outcomes of a forecast.
 const (
-	// Unknown means that nobody can tell yet. It is the zero Outcome.
+	// Unknown means that no prediction is possible yet. It is the zero
+	// Outcome.
 	Unknown Outcome = iota
-	// Ends means that the request ends before the drain time is over.
+	// Ends means that the request ends within the drain time.
 	Ends
-	// Outlasts means that it would go on after that.
+	// Outlasts means that it would run beyond the drain time.
 	Outlasts
 )
 
 // Phases of a leaving server.
 const (
-	// Draining means that requests run and the drain time is not over.
+	// Draining means that requests run and the drain time has not passed.
 	Draining Phase = iota
-	// Empty means that nothing runs.
+	// Empty means that no request runs.
 	Empty
-	// Overdue means that requests run and the drain time is over.
+	// Overdue means that requests run and the drain time has passed.
 	Overdue
 )
 
 const (
-	// NoticeLimit is the time within which every entry must have stopped
-	// sending new requests to a server that is marked as leaving.
+	// NoticeLimit is the time within which every entry must stop sending new
+	// requests to a server that is marked as leaving.
 	NoticeLimit = 3 * time.Second
-	// ProgressAge is the greatest age of an upload's progress that a forecast
-	// uses.
-	ProgressAge = 30 * time.Second
-	// minProgress is how long an upload must have run for its speed to count.
+	// MaxProgressAge is the maximum age of an upload's progress; a forecast
+	// ignores older progress.
+	MaxProgressAge = 30 * time.Second
+	// minProgress is how long an upload must have run before its rate is used.
 	minProgress = 2 * time.Second
-	// answerTime is what an upload may take after its last byte.
-	answerTime = 5 * time.Second
-	// longest is the longest forecast in seconds that is given as a time.
-	longest = 24 * 3600
+	// responseTime is the time allowed for the response after an upload's last
+	// byte.
+	responseTime = 5 * time.Second
+	// maxForecast is the longest remaining time, in seconds, for which a
+	// forecast has an end.
+	maxForecast = 24 * 3600
 )
 
 type (
-	// Outcome tells whether a request will end in time.
+	// Outcome is the prediction of whether a request will end in time.
 	Outcome uint8
 
-	// Phase is how far a drain has come.
+	// Phase is the progress of a drain.
 	Phase uint8
 
-	// Work is a request that runs on the server.
-	Work struct {
-		// Class is the request's class.
+	// Request is a request that is running on the server.
+	Request struct {
+		// Class is its request class.
 		Class id.Class
 		// Started is when it was sent.
 		Started time.Time
 		// Deadline is when it must have ended.
 		Deadline time.Time
-		// Size is the announced size of its body, below 0 if it has none.
+		// Size is the announced size of its body, negative if none is
+		// announced.
 		Size unit.Bytes
 	}
 
-	// Forecast tells how a request stands against the drain time.
+	// Forecast is the prediction for one request.
 	Forecast struct {
-		// ID is the request's.
+		// ID is the request's id.
 		ID uint64
-		// Work is the request.
-		Work Work
-		// Sent is what has moved of its body, as last seen.
+		// Request is the request.
+		Request Request
+		// Sent is the last reported number of bytes transferred of its body.
 		Sent unit.Bytes
-		// Outcome is the forecast itself.
+		// Outcome is the predicted outcome.
 		Outcome Outcome
 		// End is when the request is expected to end; zero if that is unknown.
 		End time.Time
 	}
 
-	// Server is one leaving backend server at one entry. It is not safe for
-	// concurrent use.
+	// Server is the state of one leaving backend server at one entry. It is not
+	// safe for concurrent use.
 	Server struct {
 		noticed time.Time
 		until   time.Time
@@ -87,14 +91,14 @@
 	}
 
 	running struct {
-		work Work
-		sent measured.Value[unit.Bytes]
-		seen unit.Bytes
+		request  Request
+		sent     measured.Value[unit.Bytes]
+		lastSent unit.Bytes
 	}
 )
 
-// NewServer returns a server that was noticed to leave at a time. A drain time
-// below 0 counts as 0.
+// NewServer returns a server that was marked as leaving at the given time. A
+// negative drain time counts as 0.
 func NewServer(noticed time.Time, drainTime time.Duration) *Server {
 	return &Server{noticed: noticed, until: noticed.Add(max(drainTime, 0)), work: make(map[uint64]*running)}
 }
@@ -105,23 +109,23 @@
 // Until returns the end of the drain time.
 func (s *Server) Until() time.Time { return s.until }
 
-// Begin adds a request that runs on the server.
-func (s *Server) Begin(request uint64, w Work) { s.work[request] = &running{work: w} }
+// Begin adds a request that is running on the server.
+func (s *Server) Begin(requestID uint64, r Request) { s.work[requestID] = &running{request: r} }
 
-// Progress notes how many bytes of a request's body have moved. Numbers below
-// an earlier one or above the announced size are left out.
-func (s *Server) Progress(request uint64, sent unit.Bytes, now time.Time) {
-	r := s.work[request]
-	if r == nil || sent < r.seen || (r.work.Size >= 0 && sent > r.work.Size) {
+// Progress records how many bytes of a request's body have been transferred. A
+// number below an earlier one or above the announced size is ignored.
+func (s *Server) Progress(requestID uint64, sent unit.Bytes, now time.Time) {
+	r := s.work[requestID]
+	if r == nil || sent < r.lastSent || (r.request.Size >= 0 && sent > r.request.Size) {
 		return
 	}
-	r.seen, r.sent = sent, measured.At(sent, now)
+	r.lastSent, r.sent = sent, measured.At(sent, now)
 }
 
 // End removes a request.
-func (s *Server) End(request uint64) { delete(s.work, request) }
+func (s *Server) End(requestID uint64) { delete(s.work, requestID) }
 
-// Phase returns how far the drain has come.
+// Phase returns the phase of the drain.
 func (s *Server) Phase(now time.Time) Phase {
 	switch {
 	case len(s.work) == 0:
@@ -133,13 +137,14 @@
 	}
 }
 
-// Forecasts returns what runs: first what will outlast the drain time, then
-// what is unknown, then the rest, each by request.
+// Forecasts returns the forecasts of all running requests: first those that
+// outlast the drain time, then those of unknown outcome, then the rest, each group
+// by id.
 func (s *Server) Forecasts(now time.Time) []Forecast {
 	list := make([]Forecast, 0, len(s.work))
-	for request, r := range s.work {
+	for requestID, r := range s.work {
 		outcome, end := r.forecast(now, s.until)
-		list = append(list, Forecast{ID: request, Work: r.work, Sent: r.seen, Outcome: outcome, End: end})
+		list = append(list, Forecast{ID: requestID, Request: r.request, Sent: r.lastSent, Outcome: outcome, End: end})
 	}
 	slices.SortFunc(list, func(a, b Forecast) int {
 		return cmp.Or(cmp.Compare(rank(a.Outcome), rank(b.Outcome)), cmp.Compare(a.ID, b.ID))
@@ -148,20 +153,20 @@
 }
 
 func (r *running) forecast(now, until time.Time) (Outcome, time.Time) {
-	if !r.work.Deadline.IsZero() && !r.work.Deadline.After(until) {
-		return Ends, r.work.Deadline
+	if !r.request.Deadline.IsZero() && !r.request.Deadline.After(until) {
+		return Ends, r.request.Deadline
 	}
-	sent, state := r.sent.Read(now, ProgressAge)
+	sent, state := r.sent.Read(now, MaxProgressAge)
 	age, _ := r.sent.Age(now)
-	ran := now.Add(-age).Sub(r.work.Started)
-	if state != measured.Fresh || r.work.Size < 0 || sent <= 0 || ran < minProgress {
+	elapsed := now.Add(-age).Sub(r.request.Started)
+	if state != measured.Fresh || r.request.Size < 0 || sent <= 0 || elapsed < minProgress {
 		return Unknown, time.Time{}
 	}
-	left := float64(r.work.Size-sent) / float64(sent) * ran.Seconds()
-	if left > longest {
+	left := float64(r.request.Size-sent) / float64(sent) * elapsed.Seconds()
+	if left > maxForecast {
 		return Outlasts, time.Time{}
 	}
-	end := now.Add(-age).Add(time.Duration(left*float64(time.Second)) + answerTime)
+	end := now.Add(-age).Add(time.Duration(left*float64(time.Second)) + responseTime)
 	if end.After(until) {
 		return Outlasts, end
 	}
@@ -179,7 +184,7 @@
 	}
 }
 
-// String names the outcome in lowercase.
+// String returns the outcome in lowercase.
 func (o Outcome) String() string {
 	switch o {
 	case Ends:
@@ -191,7 +196,7 @@
 	}
 }
 
-// String names the phase in lowercase.
+// String returns the phase in lowercase.
 func (p Phase) String() string {
 	switch p {
 	case Empty:
