--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,17 +1,16 @@
-// Package config keeps the configuration in force at an entry.
+// Package config maintains the active configuration of an entry.
 //
-// A [Keeper] learns publications from the platform's store, which it watches,
-// and from other entries, whose heartbeats name the version that they hold. It
-// puts one in force only if its version is above the one held, so that the
-// version never falls, whatever the store or a slow peer says; [Judge] is that
-// decision. The table in force is read through an atomic pointer.
+// A [Keeper] receives publications from the platform's store, which it watches,
+// and from other entries, whose heartbeats contain the version that they hold. It
+// activates a publication only if its version is above the one held, so that the
+// version never decreases, also if the store or a slow peer returns an older one;
+// [Judge] makes that decision. The active table is read through an atomic pointer.
 //
-// At its start a keeper asks the store and some peers. It is ready when it
-// holds a version and all that it asked have answered or failed, so that a
-// fresh entry neither serves before it knows a version nor falls behind peers
-// that can be asked. It needs the store only to learn of a version that no
-// peer has. A caller that has seen a higher version elsewhere is protected by
-// [Keeper.AtLeast].
+// At startup a keeper queries the store and some peers. It is ready when it holds a
+// version and all of these have answered or failed. So a starting entry serves no
+// request before it has a version, and is not behind the peers that it can reach.
+// It needs the store only for a version that no peer has. For a caller that has
+// seen a higher version at another entry, [Keeper.AtLeast] waits for that version.
 //
 // # Usage
 //
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -19,31 +19,33 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// FetchMethod is the method by which entries hand each other publications.
+// FetchMethod is the RPC method by which an entry fetches a publication from
+// another.
 const FetchMethod = "config.fetch"
 
 const (
-	minPause     = 250 * time.Millisecond
-	maxPause     = 8 * time.Second
-	relayPause   = time.Second
-	fetchTimeout = time.Second
-	maxAsked     = 8
+	minPause      = 250 * time.Millisecond
+	maxPause      = 8 * time.Second
+	nonRelayPause = time.Second
+	fetchTimeout  = time.Second
+	maxStartPeers = 8
 )
 
 type (
-	// Keeper keeps the configuration in force. Its exported fields must not
-	// change after Run began. It is safe for concurrent use.
+	// Keeper maintains the active configuration. Its exported fields must not
+	// change after Run was called. It is safe for concurrent use.
 	Keeper struct {
 		// Store is the platform's store.
 		Store store.Store
-		// Caller asks other entries; nil asks none.
+		// Caller calls other entries; nil disables fetching from peers.
 		Caller peer.Caller
-		// Peers lists the entries that may be asked at the start.
+		// Peers returns the entries that may be queried at startup.
 		Peers func() []id.Instance
-		// Relay tells whether this entry reads the store; nil means always.
-		// Others learn from peers alone, except at their start.
+		// Relay reports whether this entry watches the store; nil means
+		// always. Other entries receive publications only from peers, except
+		// at startup.
 		Relay func() bool
-		// Log takes an event for each change; nil means slog.Default.
+		// Log receives a message for each change; nil means slog.Default.
 		Log *slog.Logger
 
 		table   atomic.Pointer[Table]
@@ -52,71 +54,72 @@
 		report  Report
 		changed chan struct{}
 		notify  []func(*Table)
-		news    chan offer
+		offers  chan peerOffer
 	}
 
-	// Report says what a keeper holds and what it has seen.
+	// Report is the active publication of a keeper and its counts of rejected
+	// ones.
 	Report struct {
-		// Ref is the publication in force.
+		// Ref is the active publication.
 		Ref Ref `json:"ref"`
-		// Since is when it was put in force here.
+		// Since is when it became active at this entry.
 		Since time.Time `json:"since"`
-		// From names the peer it was learned from; empty means the store.
+		// From is the peer that it was fetched from; empty means the store.
 		From id.Instance `json:"from,omitempty"`
-		// StoreAt is when the store last showed the version in force or a
+		// StoreAt is when the store last returned the active version or a
 		// newer one; zero if it never did.
 		StoreAt time.Time `json:"storeAt"`
-		// Older counts offers below the version in force, which were ignored.
+		// Older counts the ignored publications below the active version.
 		Older int `json:"older"`
-		// Contradicting counts offers of another publication under the version
-		// in force, which were ignored.
+		// Contradicting counts the ignored publications with the active
+		// version but another id.
 		Contradicting int `json:"contradicting"`
-		// Invalid counts publications that could not be decoded.
+		// Invalid counts the publications that could not be decoded.
 		Invalid int `json:"invalid"`
-		// FetchFailures counts peers that did not hand over a version.
+		// FetchFailures counts the failed fetches from peers.
 		FetchFailures int `json:"fetchFailures"`
 	}
 
-	offer struct {
+	peerOffer struct {
 		from id.Instance
 		ref  Ref
 	}
 
 	fetch struct {
-		// Above asks for a version above this one.
+		// Above is the version that the requested publication must exceed.
 		Above id.Version `json:"above"`
 	}
 
 	fetched struct {
-		// Publication is absent if none is above the asked version.
+		// Publication is absent if the peer has none with a higher version.
 		Publication json.RawMessage `json:"publication,omitempty"`
 	}
 )
 
-// Current returns the table in force, nil if no version is known yet.
+// Current returns the active table, nil if there is none yet.
 func (k *Keeper) Current() *Table { return k.table.Load() }
 
-// Ready tells whether the entry may serve: it holds a version, and all that it
-// asked at its start have answered or failed.
+// Ready reports whether the entry may serve: it holds a version, and the store and
+// all peers queried at startup have answered or failed.
 func (k *Keeper) Ready() bool { return k.started.Load() && k.table.Load() != nil }
 
-// Report returns what the keeper holds and has seen.
+// Report returns the active publication and the counts of rejected ones.
 func (k *Keeper) Report() Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.report
 }
 
-// OnChange calls f with each table that is put in force from now on, in
-// order. f must not block.
+// OnChange registers f to be called with each table that becomes active from now
+// on, in order. f must not block.
 func (k *Keeper) OnChange(f func(*Table)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.notify = append(k.notify, f)
 }
 
-// AtLeast waits until the version in force is at least v; it returns false if
-// ctx ends first. An entry asks it for a caller that has seen v elsewhere.
+// AtLeast waits until the active version is at least v; it returns false if ctx
+// ends first. It is used for a caller that has seen v at another entry.
 func (k *Keeper) AtLeast(ctx context.Context, v id.Version) bool {
 	for {
 		k.mu.Lock()
@@ -136,15 +139,15 @@
 	}
 }
 
-// Heard takes the version that a peer says it holds; the id may be absent. It
-// doesn't block; a newer version is fetched from the peer by Run.
+// Heard receives the version that a peer reports to hold; the id may be absent. It
+// does not block; Run fetches a newer version from the peer.
 func (k *Keeper) Heard(from id.Instance, ref Ref) {
 	if Judge(k.Current().Ref(), ref) != Newer {
 		return
 	}
 	select {
-	case k.queue() <- offer{from, ref}:
-	default: // one is waiting; the next heartbeat brings this news again
+	case k.queue() <- peerOffer{from, ref}:
+	default: // the queue is full; the next heartbeat repeats the version
 	}
 }
 
@@ -160,7 +163,7 @@
 	return fetched{}, nil
 }
 
-// Run learns of publications until ctx ends.
+// Run receives and activates publications until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { k.followPeers(ctx) })
@@ -175,16 +178,16 @@
 	return nil
 }
 
-func (k *Keeper) queue() chan offer {
+func (k *Keeper) queue() chan peerOffer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.news == nil {
-		k.news = make(chan offer, 1)
+	if k.offers == nil {
+		k.offers = make(chan peerOffer, 1)
 	}
-	return k.news
+	return k.offers
 }
 
-// askPeers asks some peers at the same time for what they hold.
+// askPeers fetches from some peers concurrently, and waits for all of them.
 func (k *Keeper) askPeers(ctx context.Context) {
 	if k.Caller == nil || k.Peers == nil {
 		return
@@ -192,14 +195,14 @@
 	peers := k.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	var wg sync.WaitGroup
-	for _, p := range peers[:min(len(peers), maxAsked)] {
+	for _, p := range peers[:min(len(peers), maxStartPeers)] {
 		wg.Go(func() { k.fetch(ctx, p) })
 	}
 	wg.Wait()
 }
 
-// followPeers fetches the versions that heartbeats speak of. While no version
-// is known it asks peers by itself.
+// followPeers fetches the newer versions reported by heartbeats. While no version
+// is active it queries peers periodically.
 func (k *Keeper) followPeers(ctx context.Context) {
 	for {
 		select {
@@ -226,7 +229,7 @@
 	var answer fetched
 	err := k.Caller.Call(ctx, from, FetchMethod, fetch{Above: k.Current().Version()}, &answer)
 	if err != nil {
-		k.count(func(r *Report) { r.FetchFailures++ })
+		k.updateReport(func(r *Report) { r.FetchFailures++ })
 		return
 	}
 	if len(answer.Publication) > 0 {
@@ -234,8 +237,8 @@
 	}
 }
 
-// readStore reads the object in force once and returns its version there, 0 if
-// it could not be read.
+// readStore reads the current publication once and returns the version of its
+// object, 0 if the read failed.
 func (k *Keeper) readStore(ctx context.Context) store.Version {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -247,13 +250,13 @@
 	return o.Version
 }
 
-// followStore watches the store. After a watch that ended unchanged it reads
-// once, which confirms the version and finds a change that a watch missed.
+// followStore watches the store. After a watch that ended without a change it reads
+// once, which confirms the version and detects a change that the watch missed.
 func (k *Keeper) followStore(ctx context.Context, seen store.Version) {
 	pause := minPause
 	for ctx.Err() == nil {
 		if k.Relay != nil && !k.Relay() {
-			sleep(ctx, jitter(relayPause))
+			sleep(ctx, jitter(nonRelayPause))
 			continue
 		}
 		began := time.Now()
@@ -279,11 +282,11 @@
 	}
 }
 
-// offer puts an encoded publication in force if it is newer.
+// offer activates an encoded publication if it is newer.
 func (k *Keeper) offer(raw json.RawMessage, from id.Instance) Verdict {
 	t, err := decode(raw)
 	if err != nil {
-		k.count(func(r *Report) { r.Invalid++ })
+		k.updateReport(func(r *Report) { r.Invalid++ })
 		k.logger().Error("configuration", "event", "invalid", "from", from, "error", err)
 		return Older
 	}
@@ -300,7 +303,7 @@
 		k.table.Store(t)
 		k.report.Ref, k.report.Since, k.report.From = t.Ref(), now, from
 		k.logger().Info("configuration", "event", "inForce", "version", t.Version(), "from", from)
-		k.tell(t)
+		k.notifyAll(t)
 	case Older:
 		k.report.Older++
 		k.logger().Warn("configuration", "event", "older", "code", result.OlderState, "version", t.Version(), "held", held.Version, "from", from)
@@ -311,7 +314,7 @@
 	return verdict
 }
 
-func (k *Keeper) tell(t *Table) {
+func (k *Keeper) notifyAll(t *Table) {
 	if k.changed != nil {
 		close(k.changed)
 		k.changed = nil
@@ -321,7 +324,7 @@
 	}
 }
 
-func (k *Keeper) count(f func(*Report)) {
+func (k *Keeper) updateReport(f func(*Report)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f(&k.report)
@@ -334,7 +337,7 @@
 	return k.Log
 }
 
-// jitter returns between half of d and d.
+// jitter returns a random duration between half of d and d.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2) }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -28,7 +28,7 @@
 	publications = 30
 )
 
-// world is seven entries with heartbeats that name the held version.
+// world is a fleet of seven entries whose heartbeats contain the version held.
 type world struct {
 	t     *testing.T
 	store *platform.Store
@@ -122,13 +122,14 @@
 	return out.Ticket.Version
 }
 
-// verify checks that no entry's version ever fell and that all hold v.
+// verify checks that no entry's version ever decreased and that all are ready and
+// hold v.
 func (w *world) verify(v id.Version) {
 	w.t.Helper()
 	synctest.Wait()
 	is := is.New(w.t)
 	for name, n := range w.nodes {
-		is.True(slices.IsSorted(n.held)) // versions only rise
+		is.True(slices.IsSorted(n.held)) // versions never decrease
 		if n.Current().Version() != v || !n.Ready() {
 			w.t.Errorf("%s holds %d, want %d", name, n.Current().Version(), v)
 		}
@@ -144,12 +145,12 @@
 	})
 }
 
-func TestInForceEverywhereWithinSeconds(t *testing.T) {
+func TestPublicationIsActiveAtAllEntriesWithinSeconds(t *testing.T) {
 	tests := map[string]struct {
-		noStore int // entries that can't reach the store
+		noStore int // number of entries that can't reach the store
 	}{
-		"store answers all": {0},
-		"one has the store": {entries - 1},
+		"all reach the store":   {0},
+		"one reaches the store": {entries - 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -180,16 +181,16 @@
 					w.verify(v)
 				}
 				slices.Sort(last)
-				t.Logf("acceptance to the last of %d entries: p50 %v, longest %v", entries, last[publications/2], last[publications-1])
+				t.Logf("time from acceptance to activation at the last of %d entries: p50 %v, longest %v", entries, last[publications/2], last[publications-1])
 				is.New(t).True(last[publications-1] < 2*time.Second)
 			})
 		})
 	}
 }
 
-func TestVersionNeverFalls(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	tests := map[string]func(w *world){
-		"store serves an older state": func(w *world) {
+		"store returns an older state": func(w *world) {
 			w.store.SetFault(platform.Fault{Stale: unit.Duration(30 * time.Second)})
 			time.Sleep(10 * time.Second)
 			w.store.SetFault(platform.Fault{})
@@ -208,7 +209,7 @@
 			_ = w.store.Delete(w.t.Context(), publish.CurrentKey, ifVersion(o))
 			time.Sleep(time.Minute)
 		},
-		"slow peer with old news": func(w *world) {
+		"slow peer with an old version": func(w *world) {
 			n := w.nodes["entry-3"]
 			n.node.Pause()
 			w.publish(20)
@@ -249,7 +250,7 @@
 	}
 }
 
-func TestFreshEntryWithTheStoreDown(t *testing.T) {
+func TestStartingEntryFetchesFromPeersWithTheStoreDown(t *testing.T) {
 	inWorld(t, func(w *world) {
 		is := is.New(w.t)
 		w.publish(1)
@@ -257,7 +258,7 @@
 			w.start(name)
 		}
 		time.Sleep(10 * time.Second)
-		w.nodes["entry-1"].node.Pause() // a slow peer is not waited for beyond its call
+		w.nodes["entry-1"].node.Pause() // a slow peer delays readiness by at most the fetch timeout
 		w.store.SetFault(platform.Fault{Down: true})
 		fresh := w.start("entry-0")
 		is.True(!fresh.Ready())
@@ -269,7 +270,7 @@
 	})
 }
 
-func TestNothingIsServedBeforeAVersionIsKnown(t *testing.T) {
+func TestNotReadyBeforeAVersionIsHeld(t *testing.T) {
 	inWorld(t, func(w *world) {
 		is := is.New(w.t)
 		w.publish(1)
@@ -286,11 +287,11 @@
 		w.verify(1)
 		after := w.store.Counts()
 		calls := after[platform.Get] + after[platform.Watch] - before[platform.Get] - before[platform.Watch]
-		is.True(calls <= 4*entries) // no storm when the store is back
+		is.True(calls <= 4*entries) // no burst of calls when the store is available again
 	})
 }
 
-func TestAtLeast(t *testing.T) {
+func TestAtLeastWaitsForTheVersion(t *testing.T) {
 	inWorld(t, func(w *world) {
 		is := is.New(w.t)
 		w.publish(1)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// Newer means that the offered version is to be put in force.
+	// Newer means that the offered version is to be activated.
 	Newer Verdict = iota
 	// Same means that the offered publication is the one held.
 	Same
 	// Older means that the offered version is below the one held.
 	Older
-	// Contradicting means that another publication claims the version held.
+	// Contradicting means that the offered version is the one held, but of
+	// another publication.
 	Contradicting
 )
 
 type (
-	// Verdict says what to do with an offered publication.
+	// Verdict is the result of comparing an offered publication with the one
+	// held.
 	Verdict uint8
 
 	// Ref identifies a publication in messages.
 	Ref struct {
 		// Version is its version; 0 means none.
 		Version id.Version `json:"version"`
-		// ID is its own id.
+		// ID is its unique id.
 		ID publish.ID `json:"id,omitempty"`
 	}
 
-	// Table is a publication in force. It is immutable.
+	// Table is an active publication with an index by service. It is immutable.
 	Table struct {
 		// Publication is the publication itself.
 		Publication *publish.Publication
@@ -41,8 +43,8 @@
 	}
 )
 
-// Judge says what to do with an offered publication when another is held. Only
-// Newer changes what is in force.
+// Judge compares an offered publication with the one held. Only Newer changes the
+// active configuration.
 func Judge(held, offered Ref) Verdict {
 	switch {
 	case offered.Version > held.Version:
@@ -56,7 +58,7 @@
 	}
 }
 
-// Ref returns the table's version and id; those of a nil table are zero.
+// Ref returns the table's version and id, zero for a nil table.
 func (t *Table) Ref() Ref {
 	if t == nil {
 		return Ref{}
@@ -64,7 +66,7 @@
 	return Ref{Version: t.Publication.Version, ID: t.Publication.ID}
 }
 
-// Version returns the table's version; that of a nil table is 0.
+// Version returns the table's version, 0 for a nil table.
 func (t *Table) Version() id.Version { return t.Ref().Version }
 
 // Service returns the file of a service, nil if there is none. The file must
@@ -84,7 +86,7 @@
 	return t.Publication.Files
 }
 
-// decode returns the table of an encoded publication.
+// decode decodes a publication and indexes it by service.
 func decode(raw json.RawMessage) (*Table, error) {
 	p := new(publish.Publication)
 	if err := json.Unmarshal(raw, p); err != nil {
