--- a/internal/slots/holder/doc.go
+++ b/internal/slots/holder/doc.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	h := holder.Holder{Bucket: bucket, Lifetime: 2 * time.Second, Gate: gateOf}
-//	h.Adopt(term, now)
+//	h.SetTerm(term, now)
 //	report := h.Report(now, want, waiting)
 //	grant := send(report)
 //	raised := h.Grant(&grant, now)
--- a/internal/slots/holder/holder.go
+++ b/internal/slots/holder/holder.go
@@ -85,9 +85,9 @@
 	h.names = slices.Sorted(maps.Keys(h.servers))
 }
 
-// Adopt switches to a later term; an earlier or equal term is ignored. Slots held
+// SetTerm switches to a later term; an earlier or equal term is ignored. Slots held
 // become the claim; idle slots are dropped if the end has passed.
-func (h *Holder) Adopt(term id.Term, now time.Duration) {
+func (h *Holder) SetTerm(term id.Term, now time.Duration) {
 	if term <= h.term {
 		return
 	}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	if g.Term > h.term {
-		h.Adopt(g.Term, now)
+		h.SetTerm(g.Term, now)
 	}
 	if g.Term != h.term {
 		return nil
@@ -168,8 +168,8 @@
 	}
 }
 
-// Return gives up as many as n idle slots, from the servers with the most idle
-// ones, and returns how many. The next report notifies the home.
+// Return removes up to n idle slots, from the servers with the most idle ones, and
+// returns how many. The next report notifies the home.
 func (h *Holder) Return(n int) int {
 	done := 0
 	for ; done < n; done++ {
--- a/internal/slots/holder/holder_test.go
+++ b/internal/slots/holder/holder_test.go
@@ -72,7 +72,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h, g := newHolder()
-			h.Adopt(1, 0)
+			h.SetTerm(1, 0)
 			h.Report(100*time.Millisecond, 1, 0)
 			tt.do(h)
 			is.Equal(h.End(), tt.want)
@@ -84,7 +84,7 @@
 func TestHolderCountsRepeatedGrantsOnce(t *testing.T) {
 	is := is.New(t)
 	h, g := newHolder()
-	h.Adopt(1, 0)
+	h.SetTerm(1, 0)
 	h.Report(0, 3, 0)
 	h.Grant(grant(1, 1, 3, 0), 0)
 	h.Grant(grant(1, 1, 3, 0), 0)
@@ -115,11 +115,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h, g := newHolder()
-			h.Adopt(1, 0)
+			h.SetTerm(1, 0)
 			h.Report(0, 3, 0)
 			h.Grant(grant(1, 1, 3, 0), 0)
 			is.True(g.Acquire(0))
-			h.Adopt(2, tt.now)
+			h.SetTerm(2, tt.now)
 			is.Equal(h.Return(3), 0) // nothing is returned before the claim is settled
 			h.Grant(grant(1, 0, 6, 0), tt.now)
 			r := h.Report(tt.now, 0, 0)
@@ -137,10 +137,10 @@
 	is := is.New(t)
 	h, _ := newHolder()
 	h.Configure([]id.Server{"a"})
-	h.Adopt(1, 0)
+	h.SetTerm(1, 0)
 	h.Report(0, 3, 0)
 	h.Grant(grant(1, 1, 3, 0), 0)
-	h.Adopt(2, 0)
+	h.SetTerm(2, 0)
 	r := h.Report(0, 0, 0)
 	other := grant(2, r.Seq, 0, 0)
 	other.Servers[0].Server = "b"
--- a/internal/slots/ledger/model_test.go
+++ b/internal/slots/ledger/model_test.go
@@ -172,7 +172,7 @@
 		}
 	default:
 		e.holder.Confirm(msg.term, msg.begun)
-		e.holder.Adopt(msg.term, now)
+		e.holder.SetTerm(msg.term, now)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 	now := m.clock(e)
 	if e.holder.Term() == 0 || m.between(0, 2) == 0 {
-		e.holder.Adopt(m.term, now)
+		e.holder.SetTerm(m.term, now)
 	}
 	home := m.knownHome(e)
 	if home.paused != nil || home.partitioned {
--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -125,7 +125,7 @@
 // updateHolder updates the holder's term and end from the home's lease.
 func (b *bucket) updateHolder(n *Node, now time.Duration) {
 	if _, term, ok := n.Homes.Home(b.key); ok {
-		b.holder.Adopt(term, now)
+		b.holder.SetTerm(term, now)
 	}
 	if term, begun, ok := n.Homes.Confirmed(b.key); ok {
 		before := b.holder.End()
