--- a/internal/slots/ledger/ledger.go
+++ b/internal/slots/ledger/ledger.go
@@ -74,8 +74,8 @@
 	// ErrReplaced means that a later process of the sender's instance has
 	// reported.
 	ErrReplaced = eris.New("sender has been replaced")
-	// ErrImpossible means that the report's totals exceed those of the ledger.
-	ErrImpossible = eris.New("report contradicts the ledger")
+	// ErrInconsistent means that the report's totals exceed those of the ledger.
+	ErrInconsistent = eris.New("report contradicts the ledger")
 )
 
 // Configure sets the slots to divide. A server that is not in the list keeps
@@ -278,7 +278,7 @@
 			g = a.acceptClaim(h.sender.Instance, s.Claimed)
 		}
 		if s.Returned > uint64(g.accepted)+g.given || s.Seen > g.given {
-			return eris.Wrapf(ErrImpossible, "server %q of %q", s.Server, h.sender.Instance)
+			return eris.Wrapf(ErrInconsistent, "server %q of %q", s.Server, h.sender.Instance)
 		}
 		g.returned = max(g.returned, s.Returned)
 	}
--- a/internal/slots/ledger/ledger_test.go
+++ b/internal/slots/ledger/ledger_test.go
@@ -80,8 +80,8 @@
 		"later term":          {from: sender("e-1"), report: report(3, 2, 0, wire.Held{}), want: ledger.ErrNotHome},
 		"other bucket":        {from: sender("e-1"), report: &wire.Report{Term: 2, Seq: 2}, want: ledger.ErrNotHome},
 		"earlier incarnation": {from: peer.Sender{Instance: "e-1"}, report: report(2, 2, 0, wire.Held{}), want: ledger.ErrReplaced},
-		"returned too many":   {from: sender("e-1"), report: report(2, 2, 0, wire.Held{Returned: 1}), want: ledger.ErrImpossible},
-		"seen too many":       {from: sender("e-1"), report: report(2, 2, 0, wire.Held{Seen: 1}), want: ledger.ErrImpossible},
+		"returned too many":   {from: sender("e-1"), report: report(2, 2, 0, wire.Held{Returned: 1}), want: ledger.ErrInconsistent},
+		"seen too many":       {from: sender("e-1"), report: report(2, 2, 0, wire.Held{Seen: 1}), want: ledger.ErrInconsistent},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
