--- a/internal/slots/split/split.go
+++ b/internal/slots/split/split.go
@@ -14,9 +14,9 @@
 		return 0
 	}
 	first := int(xxhash.Sum64String(string(server)) % uint64(entries))
-	place := (index - first + entries) % entries
+	position := (index - first + entries) % entries
 	share := total / entries
-	if place < total%entries {
+	if position < total%entries {
 		share++
 	}
 	return share
