--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -49,13 +49,13 @@
 	}
 
 	explorer struct {
-		timed     bool
-		unchecked bool                // processes act without checking the remaining time
-		ticks     bool                // processes call Tick, so leases stay valid in an outage
-		blind     bool                // pauses are not detected
-		seen      map[uint64]struct{} // hashes of the states visited
-		seed      maphash.Seed
-		violation string
+		timed      bool
+		unchecked  bool                // processes act without checking the remaining time
+		ticks      bool                // processes call Tick, so leases stay valid in an outage
+		undetected bool                // pauses are not detected
+		seen       map[uint64]struct{} // hashes of the states visited
+		seed       maphash.Seed
+		violation  string
 	}
 )
 
@@ -81,8 +81,8 @@
 		m.holders[0].Tick(at(0))
 		m.holders[1].Tick(at(0))
 	}
-	m.holders[0].Wrote(at(0), at(0), first, 1)
-	m.holders[1].Read(at(0), first.Record, 1)
+	m.holders[0].ApplyWrite(at(0), at(0), first, 1)
+	m.holders[1].ApplyRead(at(0), first.Record, 1)
 	m.record, m.version = first.Record, 1
 	return m
 }
@@ -95,21 +95,21 @@
 	}
 	e.seen[key] = struct{}{}
 	e.check(m)
-	e.pass(m)
+	e.advance(m)
 	if !m.gone && !e.timed && e.mayReportGone(m) {
 		next := m
 		next.gone = true
 		e.explore(next) // a report of the platform, correct or not
 	}
-	e.land(m)
+	e.applyInFlight(m)
 	for i := range m.holders {
 		e.step(m, i)
 	}
 }
 
-// pass advances the time by a tick, in which both processes may be paused; with
-// ticks, the first process runs, is paused, or has died.
-func (e *explorer) pass(m model) {
+// advance moves the time forward by a tick, in which both processes may be paused;
+// with ticks, the first process runs, is paused, or has died.
+func (e *explorer) advance(m model) {
 	next := m
 	next.now++
 	if !e.ticks {
@@ -118,7 +118,7 @@
 	}
 	next.holders[1].Tick(at(next.now))
 	paused := next
-	if e.blind {
+	if e.undetected {
 		paused.holders[0].Tick(at(paused.now))
 	}
 	e.explore(paused)
@@ -156,8 +156,8 @@
 	}
 }
 
-// land applies writes in flight at the store.
-func (e *explorer) land(m model) {
+// applyInFlight applies writes in flight at the store.
+func (e *explorer) applyInFlight(m model) {
 	for i := range m.ops {
 		if o := m.ops[i]; o.inFlight && !o.effective && !o.conflict {
 			next := m
@@ -192,18 +192,18 @@
 			next := m
 			next.ops[i] = op{}
 			if o.effective {
-				next.holders[i].Wrote(at(o.began), at(m.now), o.write, o.version)
+				next.holders[i].ApplyWrite(at(o.began), at(m.now), o.write, o.version)
 			} else {
-				next.holders[i].Failed(true)
+				next.holders[i].WriteFailed(true)
 			}
 			e.explore(next)
 		}
-		next := m // the answer is lost; the write may still land
+		next := m // the answer is lost; the write may still take effect
 		next.ops[i] = op{}
 		if !o.effective && !o.conflict {
 			next.stray = o
 		}
-		next.holders[i].Failed(false)
+		next.holders[i].WriteFailed(false)
 		e.explore(next)
 	default:
 		e.begin(m, i)
@@ -217,7 +217,7 @@
 func (e *explorer) begin(m model, i int) {
 	if h := m.holders[i]; !h.Known() || h.Record() != m.record || h.Timed {
 		next := m
-		next.holders[i].Read(at(m.now), m.record, m.version)
+		next.holders[i].ApplyRead(at(m.now), m.record, m.version)
 		e.explore(next)
 	}
 	if m.begun[i] == maxOps+i {
@@ -264,7 +264,7 @@
 		"timed lease":                      {explorer{timed: true}, false},
 		"act without a check":              {explorer{unchecked: true}, true},
 		"store outage":                     {explorer{ticks: true}, false},
-		"store outage, pause not detected": {explorer{ticks: true, blind: true}, true},
+		"store outage, pause not detected": {explorer{ticks: true, undetected: true}, true},
 		"timed, act without a check":       {explorer{timed: true, unchecked: true}, true},
 	}
 	for name, test := range tests {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -40,8 +40,8 @@
 		// delayed means that the former holder may still act, so the new one
 		// has to wait.
 		delayed bool
-		// reterm means that the holder raises the term of its own lease.
-		reterm bool
+		// raisesTerm means that the holder raises the term of its own lease.
+		raisesTerm bool
 	}
 
 	// Holder is the state of one lease at one process. It is not safe for
@@ -79,9 +79,9 @@
 // Record returns the record last seen.
 func (h *Holder) Record() Record { return h.record }
 
-// Read applies a read of the record that ended at now; version 0 means that the
-// record is absent. A version older than one seen before is ignored.
-func (h *Holder) Read(now time.Time, r Record, v store.Version) {
+// ApplyRead applies a read of the record that ended at now; version 0 means that
+// the record is absent. A version older than one seen before is ignored.
+func (h *Holder) ApplyRead(now time.Time, r Record, v store.Version) {
 	if v != 0 && v < h.version {
 		return
 	}
@@ -123,7 +123,7 @@
 	case mine && want:
 		if h.raise {
 			w.Record.Term++
-			w.reterm = true
+			w.raisesTerm = true
 		}
 		return w, true
 	case mine:
@@ -138,8 +138,8 @@
 	return w, true
 }
 
-// Wrote applies a successful write that began and ended at the given times.
-func (h *Holder) Wrote(began, now time.Time, w Write, v store.Version) {
+// ApplyWrite applies a successful write that began and ended at the given times.
+func (h *Holder) ApplyWrite(began, now time.Time, w Write, v store.Version) {
 	taken := w.Record.Term != h.record.Term
 	h.known, h.record, h.version, h.conflicted = true, w.Record, v, false
 	if h.Timed {
@@ -149,10 +149,10 @@
 		h.invalidate()
 		return
 	}
-	if w.reterm {
+	if w.raisesTerm {
 		h.raise = false
 	}
-	if (taken && !w.reterm) || h.activeFrom.IsZero() {
+	if (taken && !w.raisesTerm) || h.activeFrom.IsZero() {
 		h.activeFrom = now
 		// A renewal without a known takeover follows a takeover whose answer
 		// was lost, so the lease before it is not known.
@@ -168,10 +168,10 @@
 // granted in the current term has to be requested again.
 func (h *Holder) Raise() { h.raise = true }
 
-// Failed applies a failed write. conflict means that its condition did not hold;
-// otherwise it is unknown whether the write took effect. The record must be read
-// again.
-func (h *Holder) Failed(conflict bool) {
+// WriteFailed applies a failed write. conflict means that its condition did not
+// hold; otherwise it is unknown whether the write took effect. The record must be
+// read again.
+func (h *Holder) WriteFailed(conflict bool) {
 	h.known = false
 	h.conflicted = h.conflicted || conflict
 }
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -202,7 +202,7 @@
 			k.logger().Error("lease", "event", "invalid", "name", name)
 			continue
 		}
-		k.holder(name).Read(now, r, o.Version)
+		k.holder(name).ApplyRead(now, r, o.Version)
 	}
 	return true
 }
@@ -230,11 +230,11 @@
 		if w.Record.Term != h.record.Term || w.Record.Released {
 			k.logger().Info("lease", "event", "wrote", "name", name, "term", w.Record.Term, "released", w.Record.Released)
 		}
-		h.Wrote(began, time.Now(), w, v)
+		h.ApplyWrite(began, time.Now(), w, v)
 	case errors.Is(err, store.ErrUnavailable):
 	default:
 		k.logger().Warn("lease", "event", "unsure", "code", result.LeaseUnsure, "name", name, "term", w.Record.Term, "error", err)
-		h.Failed(errors.Is(err, store.ErrConflict))
+		h.WriteFailed(errors.Is(err, store.ErrConflict))
 	}
 }
 
