--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -1,4 +1,4 @@
-// Package once gives requests at-most-once execution by tickets, which are
+// Package once provides at-most-once execution of requests by tickets, which are
 // idempotency keys issued by an entry.
 //
 // A [Registry] belongs to one incarnation of one entry instance. It issues tickets
--- a/internal/once/histories_test.go
+++ b/internal/once/histories_test.go
@@ -118,12 +118,12 @@
 			// The answers to its executions are lost; they may still finish.
 			h.nodes[i] = h.start(n.name)
 		case 11:
-			h.pass(time.Duration(h.rng.Int64N(int64(memory))))
+			h.advance(time.Duration(h.rng.Int64N(int64(memory))))
 		}
 	}
 }
 
-func (h *history) pass(d time.Duration) {
+func (h *history) advance(d time.Duration) {
 	for _, n := range h.nodes {
 		n.age += d
 	}
