--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -4,7 +4,7 @@
 // and from other entries, whose heartbeats contain the version that they hold. It
 // activates a publication only if its version is above the one held, so that the
 // version never decreases, also if the store or a slow peer returns an older one;
-// [Judge] makes that decision. The active table is read through an atomic pointer.
+// [Compare] makes that decision. The active table is read through an atomic pointer.
 //
 // At startup a keeper queries the store and some peers. It is ready when it holds a
 // version and all of these have answered or failed. So a starting entry serves no
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -142,7 +142,7 @@
 // Heard receives the version that a peer reports to hold; the id may be absent. It
 // does not block; Run fetches a newer version from the peer.
 func (k *Keeper) Heard(from id.Instance, ref Ref) {
-	if Judge(k.Current().Ref(), ref) != Newer {
+	if Compare(k.Current().Ref(), ref) != Newer {
 		return
 	}
 	select {
@@ -207,7 +207,7 @@
 	for {
 		select {
 		case o := <-k.queue():
-			if Judge(k.Current().Ref(), o.ref) == Newer {
+			if Compare(k.Current().Ref(), o.ref) == Newer {
 				k.fetch(ctx, o.from)
 			}
 		case <-time.After(jitter(maxPause)):
@@ -283,7 +283,7 @@
 }
 
 // offer activates an encoded publication if it is newer.
-func (k *Keeper) offer(raw json.RawMessage, from id.Instance) Verdict {
+func (k *Keeper) offer(raw json.RawMessage, from id.Instance) Relation {
 	t, err := decode(raw)
 	if err != nil {
 		k.updateReport(func(r *Report) { r.Invalid++ })
@@ -293,12 +293,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	held := k.table.Load().Ref()
-	verdict := Judge(held, t.Ref())
+	relation := Compare(held, t.Ref())
 	now := time.Now()
-	if from == "" && (verdict == Newer || verdict == Same) {
+	if from == "" && (relation == Newer || relation == Same) {
 		k.report.StoreAt = now
 	}
-	switch verdict {
+	switch relation {
 	case Newer:
 		k.table.Store(t)
 		k.report.Ref, k.report.Since, k.report.From = t.Ref(), now, from
@@ -311,7 +311,7 @@
 		k.report.Contradicting++
 		k.logger().Error("configuration", "event", "contradicting", "code", result.OlderState, "version", t.Version(), "id", t.Ref().ID, "held", held.ID, "from", from)
 	}
-	return verdict
+	return relation
 }
 
 func (k *Keeper) notifyAll(t *Table) {
--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -28,8 +28,8 @@
 	publications = 30
 )
 
-// world is a fleet of seven entries whose heartbeats contain the version held.
-type world struct {
+// fleet is seven entries whose heartbeats contain the version held.
+type fleet struct {
 	t     *testing.T
 	store *platform.Store
 	net   *peers.Network
@@ -46,15 +46,15 @@
 	at   map[id.Version]time.Time
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
+func newFleet(t *testing.T) *fleet {
+	w := &fleet{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
 	for i := range entries {
 		w.names = append(w.names, id.Instance(fmt.Sprint("entry-", i)))
 	}
 	return w
 }
 
-func (w *world) start(name id.Instance) *node {
+func (w *fleet) start(name id.Instance) *node {
 	n := &node{at: map[id.Version]time.Time{}}
 	n.node = w.net.Node(peer.Sender{Instance: name, Incarnation: 1})
 	others := slices.DeleteFunc(slices.Clone(w.names), func(o id.Instance) bool { return o == name })
@@ -97,19 +97,19 @@
 	return n
 }
 
-func (w *world) startAll() {
+func (w *fleet) startAll() {
 	for _, name := range w.names {
 		w.start(name)
 	}
 }
 
-func (w *world) stopAll() {
+func (w *fleet) stopAll() {
 	for _, n := range w.nodes {
 		n.stop()
 	}
 }
 
-func (w *world) publish(slots int) id.Version {
+func (w *fleet) publish(slots int) id.Version {
 	p := &publish.Publisher{Store: w.store, Author: "nino"}
 	f := file("registry", slots)
 	d, out := p.Prepare(w.t.Context(), publish.Submission{Files: f})
@@ -124,7 +124,7 @@
 
 // verify checks that no entry's version ever decreased and that all are ready and
 // hold v.
-func (w *world) verify(v id.Version) {
+func (w *fleet) verify(v id.Version) {
 	w.t.Helper()
 	synctest.Wait()
 	is := is.New(w.t)
@@ -136,9 +136,9 @@
 	}
 }
 
-func inWorld(t *testing.T, f func(w *world)) {
+func withFleet(t *testing.T, f func(w *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newFleet(t)
 		time.Sleep(time.Hour)
 		f(w)
 		w.stopAll()
@@ -154,7 +154,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withFleet(t, func(w *fleet) {
 				w.store.SetHook(func(c platform.Call) platform.Fault {
 					for i := range test.noStore {
 						if c.From == string(w.names[i]) {
@@ -189,13 +189,13 @@
 }
 
 func TestVersionNeverDecreases(t *testing.T) {
-	tests := map[string]func(w *world){
-		"store returns an older state": func(w *world) {
+	tests := map[string]func(w *fleet){
+		"store returns an older state": func(w *fleet) {
 			w.store.SetFault(platform.Fault{Stale: unit.Duration(30 * time.Second)})
 			time.Sleep(10 * time.Second)
 			w.store.SetFault(platform.Fault{})
 		},
-		"store down for hours": func(w *world) {
+		"store down for hours": func(w *fleet) {
 			w.stopAll()
 			w.beat = time.Minute
 			w.startAll()
@@ -204,33 +204,33 @@
 			time.Sleep(3 * time.Hour)
 			w.store.SetFault(platform.Fault{})
 		},
-		"object removed by hand": func(w *world) {
+		"object removed by hand": func(w *fleet) {
 			o, _ := w.store.Get(w.t.Context(), publish.CurrentKey)
 			_ = w.store.Delete(w.t.Context(), publish.CurrentKey, ifVersion(o))
 			time.Sleep(time.Minute)
 		},
-		"slow peer with an old version": func(w *world) {
+		"slow peer with an old version": func(w *fleet) {
 			n := w.nodes["entry-3"]
 			n.node.Pause()
 			w.publish(20)
 			time.Sleep(10 * time.Second)
 			n.node.Resume()
 		},
-		"all restarted": func(w *world) {
+		"all restarted": func(w *fleet) {
 			for _, name := range w.names {
 				w.nodes[name].stop()
 				w.start(name)
 				time.Sleep(time.Second)
 			}
 		},
-		"all restarted at once": func(w *world) {
+		"all restarted at once": func(w *fleet) {
 			w.stopAll()
 			w.startAll()
 		},
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withFleet(t, func(w *fleet) {
 				w.publish(1)
 				w.startAll()
 				time.Sleep(20 * time.Second)
@@ -251,7 +251,7 @@
 }
 
 func TestStartingEntryFetchesFromPeersWithTheStoreDown(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		for _, name := range w.names[1:] {
@@ -271,7 +271,7 @@
 }
 
 func TestNotReadyBeforeAVersionIsHeld(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		w.store.SetFault(platform.Fault{Down: true})
@@ -292,7 +292,7 @@
 }
 
 func TestAtLeastWaitsForTheVersion(t *testing.T) {
-	inWorld(t, func(w *world) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		w.startAll()
@@ -310,8 +310,8 @@
 func TestContradictingPublicationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	held := config.Ref{Version: 4, ID: "a"}
-	is.Equal(config.Judge(held, config.Ref{Version: 4, ID: "b"}), config.Contradicting)
-	is.Equal(config.Judge(held, held), config.Same)
-	is.Equal(config.Judge(held, config.Ref{Version: 3, ID: "a"}), config.Older)
-	is.Equal(config.Judge(held, config.Ref{Version: 5, ID: "b"}), config.Newer)
+	is.Equal(config.Compare(held, config.Ref{Version: 4, ID: "b"}), config.Contradicting)
+	is.Equal(config.Compare(held, held), config.Same)
+	is.Equal(config.Compare(held, config.Ref{Version: 3, ID: "a"}), config.Older)
+	is.Equal(config.Compare(held, config.Ref{Version: 5, ID: "b"}), config.Newer)
 }
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -10,7 +10,7 @@
 
 const (
 	// Newer means that the offered version is to be activated.
-	Newer Verdict = iota
+	Newer Relation = iota
 	// Same means that the offered publication is the one held.
 	Same
 	// Older means that the offered version is below the one held.
@@ -21,9 +21,9 @@
 )
 
 type (
-	// Verdict is the result of comparing an offered publication with the one
+	// Relation is the result of comparing an offered publication with the one
 	// held.
-	Verdict uint8
+	Relation uint8
 
 	// Ref identifies a publication in messages.
 	Ref struct {
@@ -43,9 +43,9 @@
 	}
 )
 
-// Judge compares an offered publication with the one held. Only Newer changes the
+// Compare compares an offered publication with the one held. Only Newer changes the
 // active configuration.
-func Judge(held, offered Ref) Verdict {
+func Compare(held, offered Ref) Relation {
 	switch {
 	case offered.Version > held.Version:
 		return Newer
