--- a/internal/slots/ledger/settle.go
+++ b/internal/slots/ledger/settle.go
@@ -130,9 +130,9 @@
 	l.updateOwed(changed)
 }
 
-// updateOwed sets which holders owe a slot: while requests wait at some holder
-// and no holder is known to have idle slots, each holder without waiting requests
-// returns its next idle slot.
+// updateOwed sets which holders owe a slot. While more requests wait than slots are
+// recalled, because no holder is known to have further idle slots, each holder
+// without waiting requests owes its next idle slot.
 func (l *Ledger) updateOwed(changed map[id.Instance]bool) {
 	unmet := 0
 	for _, h := range l.holders {
