--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -28,8 +28,8 @@
 	publications = 30
 )
 
-// world is seven entries with heartbeats that name the held version.
-type world struct {
+// fleet is seven entries whose heartbeats contain the version held.
+type fleet struct {
 	t     *testing.T
 	store *platform.Store
 	net   *peers.Network
@@ -46,15 +46,15 @@
 	at   map[id.Version]time.Time
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
+func newFleet(t *testing.T) *fleet {
+	w := &fleet{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
 	for i := range entries {
 		w.names = append(w.names, id.Instance(fmt.Sprint("entry-", i)))
 	}
 	return w
 }
 
-func (w *world) start(name id.Instance) *node {
+func (w *fleet) start(name id.Instance) *node {
 	n := &node{at: map[id.Version]time.Time{}}
 	n.node = w.net.Node(peer.Sender{Instance: name, Incarnation: 1})
 	others := slices.DeleteFunc(slices.Clone(w.names), func(o id.Instance) bool { return o == name })
@@ -97,19 +97,19 @@
 	return n
 }
 
-func (w *world) startAll() {
+func (w *fleet) startAll() {
 	for _, name := range w.names {
 		w.start(name)
 	}
 }
 
-func (w *world) stopAll() {
+func (w *fleet) stopAll() {
 	for _, n := range w.nodes {
 		n.stop()
 	}
 }
 
-func (w *world) publish(slots int) id.Version {
+func (w *fleet) publish(slots int) id.Version {
 	p := &publish.Publisher{Store: w.store, Author: "nino"}
 	f := file("registry", slots)
 	d, out := p.Prepare(w.t.Context(), publish.Submission{Files: f})
@@ -122,38 +122,39 @@
 	return out.Ticket.Version
 }
 
-// verify checks that no entry's version ever fell and that all hold v.
-func (w *world) verify(v id.Version) {
+// verify checks that no entry's version ever decreased and that all are ready and
+// hold v.
+func (w *fleet) verify(v id.Version) {
 	w.t.Helper()
 	synctest.Wait()
 	is := is.New(w.t)
 	for name, n := range w.nodes {
-		is.True(slices.IsSorted(n.held)) // versions only rise
+		is.True(slices.IsSorted(n.held)) // versions never decrease
 		if n.Current().Version() != v || !n.Ready() {
 			w.t.Errorf("%s holds %d, want %d", name, n.Current().Version(), v)
 		}
 	}
 }
 
-func inWorld(t *testing.T, f func(w *world)) {
+func withFleet(t *testing.T, f func(w *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newFleet(t)
 		time.Sleep(time.Hour)
 		f(w)
 		w.stopAll()
 	})
 }
 
-func TestInForceEverywhereWithinSeconds(t *testing.T) {
+func TestPublicationIsActiveAtAllEntriesWithinSeconds(t *testing.T) {
 	tests := map[string]struct {
-		noStore int // entries that can't reach the store
+		noStore int // number of entries that can't reach the store
 	}{
-		"store answers all": {0},
-		"one has the store": {entries - 1},
+		"all reach the store":   {0},
+		"one reaches the store": {entries - 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withFleet(t, func(w *fleet) {
 				w.store.SetHook(func(c platform.Call) platform.Fault {
 					for i := range test.noStore {
 						if c.From == string(w.names[i]) {
@@ -180,21 +181,21 @@
 					w.verify(v)
 				}
 				slices.Sort(last)
-				t.Logf("acceptance to the last of %d entries: p50 %v, longest %v", entries, last[publications/2], last[publications-1])
+				t.Logf("time from acceptance to activation at the last of %d entries: p50 %v, longest %v", entries, last[publications/2], last[publications-1])
 				is.New(t).True(last[publications-1] < 2*time.Second)
 			})
 		})
 	}
 }
 
-func TestVersionNeverFalls(t *testing.T) {
-	tests := map[string]func(w *world){
-		"store serves an older state": func(w *world) {
+func TestVersionNeverDecreases(t *testing.T) {
+	tests := map[string]func(w *fleet){
+		"store returns an older state": func(w *fleet) {
 			w.store.SetFault(platform.Fault{Stale: unit.Duration(30 * time.Second)})
 			time.Sleep(10 * time.Second)
 			w.store.SetFault(platform.Fault{})
 		},
-		"store down for hours": func(w *world) {
+		"store down for hours": func(w *fleet) {
 			w.stopAll()
 			w.beat = time.Minute
 			w.startAll()
@@ -203,33 +204,33 @@
 			time.Sleep(3 * time.Hour)
 			w.store.SetFault(platform.Fault{})
 		},
-		"object removed by hand": func(w *world) {
+		"object removed by hand": func(w *fleet) {
 			o, _ := w.store.Get(w.t.Context(), publish.CurrentKey)
 			_ = w.store.Delete(w.t.Context(), publish.CurrentKey, ifVersion(o))
 			time.Sleep(time.Minute)
 		},
-		"slow peer with old news": func(w *world) {
+		"slow peer with an old version": func(w *fleet) {
 			n := w.nodes["entry-3"]
 			n.node.Pause()
 			w.publish(20)
 			time.Sleep(10 * time.Second)
 			n.node.Resume()
 		},
-		"all restarted": func(w *world) {
+		"all restarted": func(w *fleet) {
 			for _, name := range w.names {
 				w.nodes[name].stop()
 				w.start(name)
 				time.Sleep(time.Second)
 			}
 		},
-		"all restarted at once": func(w *world) {
+		"all restarted at once": func(w *fleet) {
 			w.stopAll()
 			w.startAll()
 		},
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
+			withFleet(t, func(w *fleet) {
 				w.publish(1)
 				w.startAll()
 				time.Sleep(20 * time.Second)
@@ -249,15 +250,15 @@
 	}
 }
 
-func TestFreshEntryWithTheStoreDown(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestStartingEntryFetchesFromPeersWithTheStoreDown(t *testing.T) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		for _, name := range w.names[1:] {
 			w.start(name)
 		}
 		time.Sleep(10 * time.Second)
-		w.nodes["entry-1"].node.Pause() // a slow peer is not waited for beyond its call
+		w.nodes["entry-1"].node.Pause() // a slow peer delays readiness by at most the fetch timeout
 		w.store.SetFault(platform.Fault{Down: true})
 		fresh := w.start("entry-0")
 		is.True(!fresh.Ready())
@@ -269,8 +270,8 @@
 	})
 }
 
-func TestNothingIsServedBeforeAVersionIsKnown(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestNotReadyBeforeAVersionIsHeld(t *testing.T) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		w.store.SetFault(platform.Fault{Down: true})
@@ -286,12 +287,12 @@
 		w.verify(1)
 		after := w.store.Counts()
 		calls := after[platform.Get] + after[platform.Watch] - before[platform.Get] - before[platform.Watch]
-		is.True(calls <= 4*entries) // no storm when the store is back
+		is.True(calls <= 4*entries) // no burst of calls when the store is available again
 	})
 }
 
-func TestAtLeast(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestAtLeastWaitsForTheVersion(t *testing.T) {
+	withFleet(t, func(w *fleet) {
 		is := is.New(w.t)
 		w.publish(1)
 		w.startAll()
@@ -309,8 +310,8 @@
 func TestContradictingPublicationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	held := config.Ref{Version: 4, ID: "a"}
-	is.Equal(config.Judge(held, config.Ref{Version: 4, ID: "b"}), config.Contradicting)
-	is.Equal(config.Judge(held, held), config.Same)
-	is.Equal(config.Judge(held, config.Ref{Version: 3, ID: "a"}), config.Older)
-	is.Equal(config.Judge(held, config.Ref{Version: 5, ID: "b"}), config.Newer)
+	is.Equal(config.Compare(held, config.Ref{Version: 4, ID: "b"}), config.Contradicting)
+	is.Equal(config.Compare(held, held), config.Same)
+	is.Equal(config.Compare(held, config.Ref{Version: 3, ID: "a"}), config.Older)
+	is.Equal(config.Compare(held, config.Ref{Version: 5, ID: "b"}), config.Newer)
 }
