--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,18 +1,20 @@
 // Package dispatch chooses the backend server for a request.
 //
-// The owner of a request's object comes first: a server answers much faster for
-// objects that it handled recently, so a short queue at the owner is better than
-// a free slot elsewhere. Owners are chosen among all regions, which spreads
-// objects by the servers that there are. Uploads are owned by a server of the entry's
-// own region as far as its servers go round, since their bytes would fill the links
+// The preferred server is the owner of the request's object, the one with the highest
+// score in rendezvous hashing. A server answers much faster for objects that it
+// handled recently, so a short queue at the owner is better than a free slot
+// elsewhere. Owners are chosen among the servers of all regions, which spreads
+// objects over all servers. Uploads are owned by a server of the entry's own region
+// as far as its share of the servers allows, since their bytes would fill the links
 // between regions.
 //
-// The next server in the object's ranking is the owner if the first failed, lags
-// behind its service, or is cold beyond its rate. It also gets the request if the
-// owner has a long queue and it has a free slot itself; the ranking is the same at
-// all entries, so an object that is too hot for one server gets a second one that
-// all use. While no server has a free slot, requests stay with their owners or are
-// refused: elsewhere each would be more work, and overload would sustain itself.
+// The next server in the object's ranking takes over as owner if the first one
+// failed, is an outlier in its service, or is cold and has used up its rate. It also
+// gets the request if the owner has a long queue and it has a free slot itself. The
+// ranking is the same at all entries, so an object that is too hot for one server
+// gets a second one that all entries use. While no server has a free slot, requests
+// stay with their owners or are refused: they take more work at any other server, and
+// the overload would sustain itself.
 //
 // # Usage
 //
@@ -37,90 +39,94 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Limits of a Dispatcher that names none.
+// Defaults for the limits that a Dispatcher leaves unset.
 const (
-	// fullQueue is a queue in which a request waits about as long as the work that
-	// a server saves for an object that it knows.
+	// fullQueue is the load at which a request waits about as long as the work that a
+	// server saves for an object that it handled recently.
 	fullQueue = 2.0
-	// overflow is a little more; servers refuse what they can't queue, unrun.
+	// overflow is slightly above fullQueue. Servers refuse requests that they can't
+	// queue, without running them.
 	overflow = 2.5
-	// familiarLoad leaves a free slot at a server whose load is a little out of
+	// warmLoad keeps a slot free at a server whose reported load is slightly out of
 	// date.
-	familiarLoad = 0.8
-	// familiarShare moves nothing between servers of about the same load.
-	familiarShare = 0.7
-	// spareLoad is small since the reports that servers are judged by are late,
-	// and all entries go by them.
+	warmLoad = 0.8
+	// warmShare prevents moving requests between servers of about the same load.
+	warmShare = 0.7
+	// spareLoad is small because load reports arrive late and all entries act on the
+	// same reports.
 	spareLoad = 0.5
-	// queueObjectives are about what an answer is worth waiting for: those that
-	// come much later are worth little, and the queue would make those behind it
-	// late as well.
+	// queueObjectives is about the longest wait that still gives a useful answer.
+	// Answers that come much later are worth little, and the queue would delay the
+	// requests behind them as well.
 	queueObjectives = 1.5
-	// surelyInTime leaves room for the spread of times around the expected: of
-	// requests that are expected to take all of their time, about half run out of
-	// it, and their work is lost.
+	// surelyInTime leaves room for the variance of response times. Of the requests
+	// that are expected to take all of their time, about half miss their deadline,
+	// and their work is lost.
 	surelyInTime = 0.6
 )
 
 const (
-	// anyLoad takes an owner however busy it is.
+	// anyLoad accepts an owner regardless of its load.
 	anyLoad = math.MaxFloat64
-	// localSeed draws the objects that are owned within a region. Any number does
-	// that stands for no server.
+	// localSeed selects the objects that are owned within a region. Any value works
+	// that is not the seed of a server.
 	localSeed = 0x6c6f63616c
 )
 
-// Reasons of a choice.
+// Reasons for a choice.
 const (
-	// Owner means that the server is the best ranked one.
+	// Owner means that the server is the highest ranked one.
 	Owner Reason = "owner"
-	// Familiar means that the owner has no free slot, and the server has one or is
-	// much less busy, and was sent requests on the same object.
+	// Familiar means that the owner has no free slot, and that the chosen server is
+	// warm for the object (it recently got requests on it) and has a free slot or a
+	// much lower load.
 	Familiar Reason = "familiar"
-	// Spill means that the owner has a long queue and the server has room.
+	// Spill means that the owner has a long queue and the chosen server has spare
+	// capacity.
 	Spill Reason = "spill"
-	// Queue means that no server has room, and the owner can still queue.
+	// Queue means that no server has spare capacity and the owner can still queue the
+	// request.
 	Queue Reason = "queue"
-	// Full means that the owner's queue is too long or too slow for the request's
-	// time, and no server has room.
+	// Full means that the owner's queue is too long, or too slow for the time that
+	// the request has left, and no server has spare capacity.
 	Full Reason = "full"
-	// NoServer means that no server may get the request.
+	// NoServer means that no server is eligible for the request.
 	NoServer Reason = "noServer"
 )
 
 type (
-	// Reason says why a server was chosen, or none.
+	// Reason explains the choice of a server, or why none was chosen.
 	Reason string
 
-	// Choice is a server for a request, and why.
+	// Choice is the server chosen for a request, with the reason.
 	Choice struct {
-		// Server is the server, nil if none may get the request now.
+		// Server is the chosen server, nil if no server may get the request now.
 		Server *roster.Member
-		// Reason says why.
+		// Reason explains the choice.
 		Reason Reason
-		// Owner is the best ranked server, nil if there is none.
+		// Owner is the highest ranked eligible server, nil if there is none.
 		Owner *roster.Member
-		// OwnerBusy is how many requests the owner has, of all entries.
+		// OwnerBusy is the estimated number of requests of all entries at the owner.
 		OwnerBusy float64
 	}
 
-	// Request is what the choice depends on.
+	// Request holds what the choice depends on.
 	Request struct {
 		// Service is the service that gets the request.
 		Service id.Service
 		// Route is the request's route.
 		Route *route.Route
-		// Key stands for the request's object, see owner.Key.
+		// Key identifies the request's object, see [owner.Key].
 		Key uint64
 		// Tried are servers that must not be chosen again.
 		Tried []id.Server
-		// Left is how much time the request has; 0 is no bound.
+		// Left is the time until the request's deadline; 0 means no deadline.
 		Left time.Duration
-		// Draw is evenly spread from 0 to 1. It decides who is turned away while
-		// not all requests can be answered in time.
+		// Draw is a uniform random number from 0 to 1. It decides which requests are
+		// refused while not all can be answered in time.
 		Draw float64
 
-		// local tells that the object is owned within the entry's region.
+		// local is set if the object is owned within the entry's region.
 		local bool
 	}
 
@@ -128,62 +134,65 @@
 	Dispatcher struct {
 		// Roster holds the servers.
 		Roster *roster.Roster
-		// Region is the entry's own.
+		// Region is the region of the entry.
 		Region id.Region
-		// Limits say when a request leaves its owner; those that are 0 are the
-		// package's own.
+		// Limits set when a request leaves its owner; a limit of 0 selects its
+		// default.
 		Limits Limits
 
-		visits familiar
+		warm warmSet
 	}
 
-	// Limits say when a request leaves its owner. Loads are requests of all
-	// entries in multiples of a server's slots.
+	// Limits set when a request leaves its owner. A load is the number of requests of
+	// all entries as a multiple of a server's slots.
 	Limits struct {
-		// FullQueue is the owner's load from which a server with room is asked.
+		// FullQueue is the owner's load from which servers with spare capacity are
+		// tried.
 		FullQueue float64
-		// Overflow is the owner's load from which a request is turned away.
+		// Overflow is the owner's load from which a request is refused.
 		Overflow float64
-		// FamiliarLoad is the load up to which a server that knows the object
-		// takes requests of an owner without a free slot.
+		// FamiliarLoad is the load below which a warm server for the object takes
+		// requests of an owner without a free slot.
 		FamiliarLoad float64
-		// FamiliarShare is the same as a part of the owner's load.
+		// FamiliarShare is the same limit as a fraction of the owner's load. The
+		// greater of the two applies.
 		FamiliarShare float64
-		// SpareLoad is the load up to which a server has room for objects that it
-		// doesn't know.
+		// SpareLoad is the load below which a server takes requests on objects that
+		// it is not warm for.
 		SpareLoad float64
-		// QueueObjectives is how late an answer may be expected, in multiples of
-		// the route's objective, so that a request still queues.
+		// QueueObjectives is the longest expected latency at which a request is still
+		// queued, in multiples of the route's latency objective.
 		QueueObjectives float64
-		// SurelyInTime is the part of that time, or of what is left until the
-		// request's deadline, within which a server is expected to answer so that
-		// the request queues there for sure.
+		// SurelyInTime is the fraction of that latency, or of the time until the
+		// request's deadline if that is shorter, within which a request is always
+		// queued.
 		SurelyInTime float64
 	}
 
-	// candidate is a server with its rank for a request; the greatest is best.
+	// candidate is a server with its rank for a request. The lowest in the order of
+	// before is the best.
 	candidate struct {
-		member *roster.Member
-		sound  bool // not an outlier
-		near   bool // in the preferred region
-		score  uint64
+		member  *roster.Member
+		healthy bool // not an outlier
+		near    bool // in the preferred region
+		score   uint64
 	}
 )
 
-// orDefault fills in the package's own limits.
-func (l Limits) orDefault() Limits {
+// withDefaults replaces limits of 0 by their defaults.
+func (l Limits) withDefaults() Limits {
 	return Limits{
 		FullQueue: cmp.Or(l.FullQueue, fullQueue), Overflow: cmp.Or(l.Overflow, overflow),
-		FamiliarLoad: cmp.Or(l.FamiliarLoad, familiarLoad), FamiliarShare: cmp.Or(l.FamiliarShare, familiarShare),
+		FamiliarLoad: cmp.Or(l.FamiliarLoad, warmLoad), FamiliarShare: cmp.Or(l.FamiliarShare, warmShare),
 		SpareLoad: cmp.Or(l.SpareLoad, spareLoad), QueueObjectives: cmp.Or(l.QueueObjectives, queueObjectives),
 		SurelyInTime: cmp.Or(l.SurelyInTime, surelyInTime),
 	}
 }
 
-// Choose returns the server for a request, with the request begun there.
+// Choose returns the server for a request, with the request already begun there.
 func (d *Dispatcher) Choose(now time.Time, req *Request) Choice {
 	view := d.Roster.View()
-	req = d.placed(view, req)
+	req = d.withPlacement(view, req)
 	var skipped []*roster.Member
 	for {
 		c := d.pick(now, view, req, skipped)
@@ -191,19 +200,19 @@
 			return c
 		}
 		if c.Server.Begin(now) {
-			d.visits.note(now, req.Key, c.Server.Name)
+			d.warm.note(now, req.Key, c.Server.Name)
 			return c
 		}
-		// Another request took the last of its cold rate.
+		// A concurrent request used up the server's cold rate.
 		skipped = append(skipped, c.Server)
 	}
 }
 
-// Explain returns the choice that Choose would make, without beginning a request,
-// and all servers of the service in the order of the request's object.
+// Explain returns the choice that Choose would make, without beginning a request, and
+// all servers of the service in the order of their rank for the request's object.
 func (d *Dispatcher) Explain(now time.Time, req *Request) (Choice, []*roster.Member) {
 	view := d.Roster.View()
-	req = d.placed(view, req)
+	req = d.withPlacement(view, req)
 	ranking := slices.Clone(view.Members(req.Service))
 	slices.SortFunc(ranking, func(a, b *roster.Member) int {
 		x, y := d.candidate(a, req), d.candidate(b, req)
@@ -222,7 +231,7 @@
 // pick returns the server that should get the request.
 func (d *Dispatcher) pick(now time.Time, view *roster.View, req *Request, skipped []*roster.Member) Choice {
 	members := view.Members(req.Service)
-	limits := d.Limits.orDefault()
+	limits := d.Limits.withDefaults()
 	first := d.best(now, members, req, anyLoad, skipped)
 	if first == nil {
 		return Choice{Reason: NoServer}
@@ -232,7 +241,7 @@
 	if load < 1 {
 		return c
 	}
-	if m := d.familiar(now, view, req, max(limits.FamiliarLoad, limits.FamiliarShare*load), skipped); m != nil {
+	if m := d.warmServer(now, view, req, max(limits.FamiliarLoad, limits.FamiliarShare*load), skipped); m != nil {
 		c.Server, c.Reason = m, Familiar
 		return c
 	}
@@ -252,10 +261,10 @@
 	return c
 }
 
-// inTime tells whether a request that queues at a server is to be answered in time.
-// Between SurelyInTime and all of its time, a part of the requests is turned away
-// that grows with the time that they are expected to take: entries that judge by
-// the same load then don't all turn away at the same moment.
+// inTime reports whether a request that queues at a server is expected to be answered
+// in time. If the expected latency is between [Limits.SurelyInTime] and all of the available
+// time, a fraction of the requests is refused that grows with the expected latency:
+// entries that see the same load then don't all start refusing at the same moment.
 func inTime(now time.Time, m *roster.Member, req *Request, limits *Limits) bool {
 	left := req.Left
 	if o := time.Duration(float64(req.Route.Objective) * limits.QueueObjectives); o > 0 && (left <= 0 || o < left) {
@@ -268,30 +277,30 @@
 	return share < limits.SurelyInTime+(1-limits.SurelyInTime)*req.Draw
 }
 
-// familiar returns the least busy server that should know the request's object and
-// has less than a load; nil if there is none.
-func (d *Dispatcher) familiar(now time.Time, view *roster.View, req *Request, limit float64, skipped []*roster.Member) *roster.Member {
+// warmServer returns the least busy server that is warm for the request's object and
+// whose load is below limit; nil if there is none.
+func (d *Dispatcher) warmServer(now time.Time, view *roster.View, req *Request, limit float64, skipped []*roster.Member) *roster.Member {
 	var found *roster.Member
 	least := limit
-	for _, name := range d.visits.knowing(now, req.Key) {
+	for _, name := range d.warm.servers(now, req.Key) {
 		m := view.Member(req.Service, name)
 		if m == nil {
 			continue
 		}
 		load := m.Busy(now) / float64(m.Slots)
-		if load < least && !m.Outlier() && d.near(m, req) && eligible(now, m, req, skipped) {
+		if load < least && !m.Outlier() && d.isNear(m, req) && eligible(now, m, req, skipped) {
 			found, least = m, load
 		}
 	}
 	return found
 }
 
-// eligible tells whether a server may get the request at all.
+// eligible reports whether a server may get the request, regardless of its load.
 func eligible(now time.Time, m *roster.Member, req *Request, skipped []*roster.Member) bool {
 	return req.Route.Allows(m.Region) && !slices.Contains(req.Tried, m.Name) && !slices.Contains(skipped, m) && m.Ready(now)
 }
 
-// best returns the highest ranked server that has fewer requests than limit
+// best returns the highest ranked eligible server with fewer requests than limit
 // times its slots.
 func (d *Dispatcher) best(now time.Time, members []*roster.Member, req *Request, limit float64, skipped []*roster.Member) *roster.Member {
 	var top candidate
@@ -309,20 +318,22 @@
 }
 
 func (d *Dispatcher) candidate(m *roster.Member, req *Request) candidate {
-	return candidate{m, !m.Outlier(), d.near(m, req), owner.Score(req.Key, m.Seed)}
+	return candidate{m, !m.Outlier(), d.isNear(m, req), owner.Score(req.Key, m.Seed)}
 }
 
-// near tells whether a server stands where the request's bytes should stay.
-func (d *Dispatcher) near(m *roster.Member, req *Request) bool {
+// isNear reports whether a server is in the region where the request's bytes should
+// stay.
+func (d *Dispatcher) isNear(m *roster.Member, req *Request) bool {
 	return !req.local || m.Region == d.Region
 }
 
-// placed returns the request with the decision whether its object is owned within
-// the entry's region. Of uploads, as many objects are as the region has servers,
-// compared with the mean of the regions; the same at all entries of the region. The
-// rest is owned among all, so that callers of a region with few servers don't wait
-// for those.
-func (d *Dispatcher) placed(view *roster.View, req *Request) *Request {
+// withPlacement returns the request with the decision whether its object is owned
+// within the entry's region. Only uploads are. The share of objects that is owned
+// locally is the number of the region's servers divided by the mean over all regions,
+// at most 1, and is the same at all entries of the region. The other objects are
+// owned among the servers of all regions, so that callers of a region with few
+// servers don't overload those.
+func (d *Dispatcher) withPlacement(view *roster.View, req *Request) *Request {
 	if req.Route.Kind != service.Upload {
 		return req
 	}
@@ -340,8 +351,8 @@
 
 func (c *candidate) before(o *candidate) bool {
 	switch {
-	case c.sound != o.sound:
-		return c.sound
+	case c.healthy != o.healthy:
+		return c.healthy
 	case c.near != o.near:
 		return c.near
 	default:
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -25,8 +25,8 @@
 
 var start = time.Unix(1000, 0)
 
-// newDispatcher returns an entry in region a over ten servers in each of the
-// regions a and b.
+// newDispatcher returns the dispatcher of an entry in region a, with ten servers in
+// each of the regions a and b.
 func newDispatcher() *dispatch.Dispatcher {
 	r := &roster.Roster{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for _, region := range []id.Region{"a", "b"} {
@@ -38,7 +38,7 @@
 	return &dispatch.Dispatcher{Roster: r, Region: "a"}
 }
 
-// choose returns the server alone.
+// choose returns the server of the choice.
 func choose(d *dispatch.Dispatcher, req *dispatch.Request) *roster.Member {
 	return d.Choose(start, req).Server
 }
@@ -47,14 +47,14 @@
 	return &dispatch.Request{Service: svc, Route: &route.Route{Kind: kind}, Key: key}
 }
 
-// fill gives a server n requests of this entry.
+// fill begins n requests of this entry at a server.
 func fill(m *roster.Member, n int) {
 	for range n {
 		m.Begin(start)
 	}
 }
 
-func TestAnObjectHasOneOwner(t *testing.T) {
+func TestObjectHasOneOwner(t *testing.T) {
 	is := is.New(t)
 	d, other := newDispatcher(), newDispatcher()
 	other.Region = "b"
@@ -67,7 +67,7 @@
 		is.Equal(same.Name, m.Name)
 		regions[m.Region]++
 	}
-	is.True(regions["a"] > 60 && regions["b"] > 60) // owners stand in all regions
+	is.True(regions["a"] > 60 && regions["b"] > 60) // both regions own objects
 }
 
 func TestUploadsStayInTheRegion(t *testing.T) {
@@ -78,16 +78,16 @@
 	}
 }
 
-// A region owns as many of its callers' uploads as it has servers, compared with the
-// others.
-func TestUploadsOfARegionWithFewServers(t *testing.T) {
+// The share of uploads that a region owns for its own callers follows its number of
+// servers relative to the mean of the regions.
+func TestLocalUploadShareFollowsServerCount(t *testing.T) {
 	const keys = 2000
 	tests := map[string]struct {
 		own, others int
 		local       float64 // part of the objects that the region's servers own
 	}{
 		"no servers":         {0, 10, 0},
-		"few servers":        {2, 18, 0.2 + 0.8*0.1}, // and their part of the rest
+		"few servers":        {2, 18, 0.2 + 0.8*0.1}, // and its share of the remaining 0.8
 		"as many as others":  {10, 10, 1},
 		"more than others":   {15, 5, 1},
 		"all of the servers": {10, 0, 1},
@@ -115,19 +115,19 @@
 	}
 }
 
-func TestSpill(t *testing.T) {
+func TestChoiceByLoad(t *testing.T) {
 	tests := map[string]struct {
 		owner, others int // requests that they have
 		want          dispatch.Reason
 	}{
-		"owner free":                  {0, 0, dispatch.Owner},
-		"owner has a short queue":     {2*slots - 1, 0, dispatch.Owner},
-		"owner has a long queue":      {2 * slots, 0, dispatch.Spill},
-		"all have all slots in use":   {2 * slots, slots, dispatch.Queue},
-		"queue is past the objective": {5 * slots / 2, slots, dispatch.Full},
-		"owner full and others free":  {4 * slots, 0, dispatch.Spill},
-		"others have half in use":     {2 * slots, slots / 2, dispatch.Queue},
-		"others have less than half":  {2 * slots, slots/2 - 1, dispatch.Spill},
+		"owner free":                 {0, 0, dispatch.Owner},
+		"owner has a short queue":    {2*slots - 1, 0, dispatch.Owner},
+		"owner has a long queue":     {2 * slots, 0, dispatch.Spill},
+		"all have all slots in use":  {2 * slots, slots, dispatch.Queue},
+		"queue is at the limit":      {5 * slots / 2, slots, dispatch.Full},
+		"owner full and others free": {4 * slots, 0, dispatch.Spill},
+		"others have half in use":    {2 * slots, slots / 2, dispatch.Queue},
+		"others have less than half": {2 * slots, slots/2 - 1, dispatch.Spill},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestPassedOver(t *testing.T) {
+func TestIneligibleOwnerIsSkipped(t *testing.T) {
 	tests := map[string]func(d *dispatch.Dispatcher, req *dispatch.Request, m *roster.Member){
 		"tried":   func(_ *dispatch.Dispatcher, req *dispatch.Request, m *roster.Member) { req.Tried = []id.Server{m.Name} },
 		"removed": func(d *dispatch.Dispatcher, _ *dispatch.Request, m *roster.Member) { d.Roster.Remove(start, m.Name) },
@@ -163,13 +163,13 @@
 				req.Route.Regions = []id.Region{"b"}
 			}
 		},
-		"takes no connection": func(_ *dispatch.Dispatcher, _ *dispatch.Request, m *roster.Member) {
+		"connections fail": func(_ *dispatch.Dispatcher, _ *dispatch.Request, m *roster.Member) {
 			for range 2 {
 				m.Begin(start)
 				m.End(start, roster.Outcome{Event: health.ConnectFailed, Failed: true})
 			}
 		},
-		"fails where others don't": func(d *dispatch.Dispatcher, _ *dispatch.Request, m *roster.Member) {
+		"fails more often than the other servers": func(d *dispatch.Dispatcher, _ *dispatch.Request, m *roster.Member) {
 			for range 20 {
 				m.Begin(start)
 				m.End(start, roster.Outcome{Event: health.Answered, Failed: true})
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestNobodyIsPassedOverIfAllFail(t *testing.T) {
+func TestOwnerIsKeptIfAllServersFail(t *testing.T) {
 	is := is.New(t)
 	d := newDispatcher()
 	req := request(service.Read, 17)
--- a/internal/dispatch/familiar.go
+++ b/internal/dispatch/familiar.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// familiarTime is how long a server is expected to know an object after this
-	// entry sent it a request on it: other objects push it out in time.
-	familiarTime = 15 * time.Second
-	// familiarServers is how many servers are remembered for an object.
-	familiarServers = 4
-	// familiarObjects is how many objects are remembered.
-	familiarObjects = 8192
+	// warmTime is how long a server is expected to stay warm for an object after this
+	// entry sent it a request on it. Later, other objects may have evicted it from
+	// the server's cache.
+	warmTime = 15 * time.Second
+	// warmServers is the number of servers remembered for each object.
+	warmServers = 4
+	// warmObjects is the maximum number of objects remembered.
+	warmObjects = 8192
 )
 
 type (
-	// familiar remembers which servers this entry sent requests on an object to,
-	// and that therefore should know it. The zero familiar is ready for use.
-	familiar struct {
+	// warmSet remembers to which servers this entry recently sent requests on an
+	// object, and which are therefore expected to be warm for it. The zero warmSet is
+	// ready for use.
+	warmSet struct {
 		mu      sync.Mutex
-		objects map[uint64]*[familiarServers]visit
+		objects map[uint64]*[warmServers]visit
 	}
 
 	visit struct {
@@ -31,13 +33,13 @@
 	}
 )
 
-// note takes in that a server got a request on an object.
-func (f *familiar) note(now time.Time, key uint64, server id.Server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	visits := f.objects[key]
+// note records that a server got a request on an object.
+func (w *warmSet) note(now time.Time, key uint64, server id.Server) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	visits := w.objects[key]
 	if visits == nil {
-		visits = f.add(now, key)
+		visits = w.add(now, key)
 	}
 	oldest := 0
 	for i := range visits {
@@ -52,41 +54,42 @@
 	visits[oldest] = visit{server, now}
 }
 
-// knowing returns the servers that should know an object.
-func (f *familiar) knowing(now time.Time, key uint64) []id.Server {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	visits := f.objects[key]
+// servers returns the servers that are expected to be warm for an object.
+func (w *warmSet) servers(now time.Time, key uint64) []id.Server {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	visits := w.objects[key]
 	if visits == nil {
 		return nil
 	}
-	out := make([]id.Server, 0, familiarServers)
+	out := make([]id.Server, 0, warmServers)
 	for i := range visits {
-		if visits[i].server != "" && now.Sub(visits[i].at) < familiarTime {
+		if visits[i].server != "" && now.Sub(visits[i].at) < warmTime {
 			out = append(out, visits[i].server)
 		}
 	}
 	return out
 }
 
-// add makes room for an object, and forgets those that nobody asked for lately.
-func (f *familiar) add(now time.Time, key uint64) *[familiarServers]visit {
-	if len(f.objects) >= familiarObjects {
-		for k, visits := range f.objects {
-			if now.Sub(newest(visits)) >= familiarTime || len(f.objects) >= familiarObjects {
-				delete(f.objects, k)
+// add inserts an object. If the set is full, it evicts objects without recent
+// requests, and others until there is room.
+func (w *warmSet) add(now time.Time, key uint64) *[warmServers]visit {
+	if len(w.objects) >= warmObjects {
+		for k, visits := range w.objects {
+			if now.Sub(newest(visits)) >= warmTime || len(w.objects) >= warmObjects {
+				delete(w.objects, k)
 			}
 		}
 	}
-	if f.objects == nil {
-		f.objects = make(map[uint64]*[familiarServers]visit)
+	if w.objects == nil {
+		w.objects = make(map[uint64]*[warmServers]visit)
 	}
-	visits := &[familiarServers]visit{}
-	f.objects[key] = visits
+	visits := &[warmServers]visit{}
+	w.objects[key] = visits
 	return visits
 }
 
-func newest(visits *[familiarServers]visit) time.Time {
+func newest(visits *[warmServers]visit) time.Time {
 	at := visits[0].at
 	for _, v := range visits {
 		if v.at.After(at) {
--- a/internal/dispatch/familiar_test.go
+++ b/internal/dispatch/familiar_test.go
@@ -11,9 +11,9 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// An object that is too hot for its owner is shared with a server that got some
-// of its requests before, and only while that is recent.
-func TestAHotObjectIsShared(t *testing.T) {
+// Requests on an object that is too hot for its owner go to a second server that
+// handled some of them before, but only while that was recent (15 s).
+func TestHotObjectIsSharedWithWarmServer(t *testing.T) {
 	is := is.New(t)
 	d := newDispatcher()
 	req := request(service.Read, 17)
@@ -26,7 +26,7 @@
 	for range slots {
 		owner.End(start, roster.Outcome{})
 	}
-	// The owner has all slots in use and no queue worth a spill.
+	// The owner has all slots in use, but its queue is too short for a spill.
 	c = d.Choose(start.Add(10*time.Second), req)
 	is.Equal(c.Reason, dispatch.Familiar)
 	is.Equal(c.Server.Name, second.Name)
