--- a/internal/roster/check.go
+++ b/internal/roster/check.go
@@ -7,72 +7,74 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Checks returns the servers whose reach is to be checked by a new connection, so
-// that no request has to find out: those that took none lately, and in turn those
-// of a zone that is out of reach. The result is told by Checked. It is called some
-// times a second.
+// Checks returns the servers that are due for an active connection check, so that no
+// request has to detect whether they are reachable again: servers whose last
+// connection failed, and one server at a time of each unreachable zone. The caller
+// reports the results to [Roster.Checked]. Checks is called several times a second.
 func (r *Roster) Checks(now time.Time) []*Member {
 	var due []*Member
 	zones := make(map[id.Zone][]*Member)
 	for _, list := range r.View().services {
 		for _, m := range list {
 			switch {
-			case !m.reach.open():
+			case !m.zone.ok():
 				zones[m.Zone] = append(zones[m.Zone], m)
-			case m.due(now):
+			case m.startCheck(now):
 				due = append(due, m)
 			}
 		}
 	}
 	for _, members := range zones {
-		if i := members[0].reach.check(now, len(members)); i >= 0 {
+		if i := members[0].zone.nextCheck(now, len(members)); i >= 0 {
 			due = append(due, members[i])
 		}
 	}
 	return due
 }
 
-// Checked takes in whether a server took a connection.
+// Checked records whether a checked server accepted a connection.
 func (r *Roster) Checked(now time.Time, m *Member, ok bool) {
-	m.checked(now, ok)
+	m.finishCheck(now, ok)
 	if !ok {
-		m.reach.unreached(now, m.Name)
+		m.zone.connectFailed(now, m.Name)
 		return
 	}
 	r.Log.Info("backend server reached again", "server", m.Name, "zone", m.Zone)
-	m.reach.answered(now)
+	m.zone.succeeded(now)
 }
 
-// due tells whether the server is to be checked now, and notes that it is.
-func (m *Member) due(now time.Time) bool {
+// startCheck reports whether the server is due for a check, and marks the check as
+// running.
+func (m *Member) startCheck(now time.Time) bool {
 	s := m.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.missed.IsZero() || s.checking {
+	if s.connectFailed.IsZero() || s.checking {
 		return false
 	}
 	v, _ := s.verdict(now)
-	s.checking = v == health.Trial || v == health.No && m.reach.regainedSince(s.missed)
+	s.checking = v == health.Trial || v == health.No && m.zone.recoveredSince(s.connectFailed)
 	return s.checking
 }
 
-func (m *Member) checked(now time.Time, ok bool) {
+func (m *Member) finishCheck(now time.Time, ok bool) {
 	s := m.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.checking = false
 	if ok {
-		s.missed = time.Time{}
-		s.opinion.Reached(now)
+		s.connectFailed = time.Time{}
+		s.health.Reached(now)
 		return
 	}
-	s.missed = now
-	s.opinion.Observe(now, health.ConnectFailed)
+	s.connectFailed = now
+	s.health.Observe(now, health.ConnectFailed)
 }
 
-// Reachable tells whether the server takes connections, as far as this entry knows.
+// Reachable reports whether the server accepts connections, according to this entry's
+// requests and checks.
 func (m *Member) Reachable() bool {
 	m.state.mu.Lock()
 	defer m.state.mu.Unlock()
-	return m.reach.open() && (m.state.missed.IsZero() || !m.state.opinion.Out())
+	return m.zone.ok() && (m.state.connectFailed.IsZero() || !m.state.health.Out())
 }
--- a/internal/roster/pace.go
+++ b/internal/roster/pace.go
@@ -7,65 +7,66 @@
 )
 
 const (
-	// paceWeight is the part of one answer in a pace: some twenty answers count,
-	// which an entry gets within a fraction of a second under load.
-	paceWeight = 0.05
-	// paceFade is the time in which half of a pace's load is forgotten while no
-	// answer comes, so that an entry which refuses all requests tries again.
-	paceFade = 500 * time.Millisecond
+	// baselineWeight is the weight of one answer in the averages of a baseline: they
+	// cover about the last twenty answers, which an entry gets within a fraction of a
+	// second under load.
+	baselineWeight = 0.05
+	// baselineHalfLife is the half-life of a baseline's load while no answers arrive,
+	// so that an entry that refuses all requests tries again.
+	baselineHalfLife = 500 * time.Millisecond
 )
 
-// pace is what the answers of a service's servers tell of all of them: how long
-// they work on a request, and how busy they are. It stands in for what this entry
-// doesn't know of one server: where there are many entries and servers, an entry
-// hears from each server only now and then. The zero pace has heard nothing.
-type pace struct {
+// baseline holds the mean work per request and the mean load over all servers of a
+// service. It is the estimate for a server without recent reports: in deployments
+// with many entries and servers, an entry gets an answer from each server only now
+// and then. The zero baseline has no data.
+type baseline struct {
 	mu   sync.Mutex
-	work float64 // seconds that a request takes on a slot
-	load float64 // requests of other entries on a slot
+	work float64 // seconds that a request occupies a slot
+	load float64 // requests of other entries per slot
 	at   time.Time
 }
 
-// observe takes in the load that a server reported of other entries, on a slot.
-func (p *pace) observe(now time.Time, load float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.at.IsZero() {
-		p.load = load
+// observe records the load per slot that a server reported for the other entries.
+func (b *baseline) observe(now time.Time, load float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.at.IsZero() {
+		b.load = load
 	}
-	p.load += paceWeight * (load - p.load)
-	p.at = now
+	b.load += baselineWeight * (load - b.load)
+	b.at = now
 }
 
-// answered takes in an answer that came after a latency from a server with so
-// many requests on a slot.
-func (p *pace) answered(latency time.Duration, load float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	// A server that queues divides its slots among those that wait.
+// answered records the latency of an answer from a server with the given load per
+// slot.
+func (b *baseline) answered(latency time.Duration, load float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	// The latency includes queueing: a server with more requests than slots needs
+	// load times the work per request.
 	work := latency.Seconds() / max(load, 1)
-	if p.work == 0 {
-		p.work = work
+	if b.work == 0 {
+		b.work = work
 	}
-	p.work += paceWeight * (work - p.work)
+	b.work += baselineWeight * (work - b.work)
 }
 
-// expected returns how long a request takes on a server with so many requests on a
-// slot, 0 if that is not known.
-func (p *pace) expected(load float64) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Duration(p.work * max(load, 1) * float64(time.Second))
+// expected returns the expected latency at the given load per slot, 0 if unknown.
+func (b *baseline) expected(load float64) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return time.Duration(b.work * max(load, 1) * float64(time.Second))
 }
 
-// usual returns the usual load of other entries on a slot, and the usual time that
-// a request takes on one.
-func (p *pace) usual(now time.Time) (load float64, work time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	work = time.Duration(p.work * float64(time.Second))
-	if p.load > 0 {
-		load = p.load * math.Exp2(-float64(now.Sub(p.at))/float64(paceFade))
+// mean returns the mean load of other entries per slot, and the mean time that a
+// request occupies a slot.
+func (b *baseline) mean(now time.Time) (load float64, work time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	work = time.Duration(b.work * float64(time.Second))
+	if b.load > 0 {
+		load = b.load * math.Exp2(-float64(now.Sub(b.at))/float64(baselineHalfLife))
 	}
 	return load, work
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,14 +1,15 @@
-// Package roster keeps what an entry knows of the backend servers: which there
-// are, which may get requests, which are cold, how busy each is by this entry's
-// requests, and what those requests met.
+// Package roster holds an entry's local state of the backend servers: which ones
+// exist, which are eligible for requests, which are cold, how busy each one is, and
+// the results of this entry's requests to it.
 //
-// The platform's store is the source of the first part. Its word is taken at
-// once, with one exception: registrations of servers may lapse while the store
-// is away, and come back shortly after it. A server that is missing within
-// [Roster.Grace] of the store's return is kept until the grace has passed.
+// The set of servers comes from registrations in the platform's store. Changes apply
+// at once, with one exception: registrations may lapse while the store is
+// unavailable, and be renewed shortly after it recovers. A server that is removed or
+// missing within [Roster.Grace] of the store's recovery is kept until the grace
+// period has passed, unless it is leaving.
 //
-// A [Roster] is changed under a lock and publishes immutable [View]s, from which
-// requests are served without one.
+// Changes to a [Roster] take a lock and publish an immutable [View]. Requests are
+// served from the current View without a lock.
 //
 // # Usage
 //
@@ -38,88 +39,89 @@
 )
 
 type (
-	// Server is a backend server as it registered itself.
+	// Server is the registration of a backend server.
 	Server struct {
-		// Name is its name, new with most starts.
+		// Name is the server's name, which usually changes with each start.
 		Name id.Server `json:"name"`
 		// Service is the service that it belongs to.
 		Service id.Service `json:"service"`
 		// Address is its IP address and port.
 		Address string `json:"address"`
-		// Zone is the availability zone it stands in.
+		// Zone is the availability zone that the server is located in.
 		Zone id.Zone `json:"zone"`
 		// Region is the region of the zone.
 		Region id.Region `json:"region"`
-		// Slots is how many requests it runs at the same time.
+		// Slots is the maximum number of requests that it runs concurrently.
 		Slots int `json:"slots"`
-		// Born tells its starts apart: the Unix time of the start in
-		// milliseconds, 0 if it is not known.
+		// Born distinguishes the starts of a server: the Unix time of the start in
+		// milliseconds, 0 if unknown.
 		Born int64 `json:"born"`
-		// Leaving marks a server that gets no new requests.
+		// Leaving is set during graceful shutdown; the server gets no new requests.
 		Leaving bool `json:"leaving"`
-		// Cold is how much longer it is slow, as of its registration.
+		// Cold is the remaining time of its slow start, as of its registration.
 		Cold time.Duration `json:"cold"`
 	}
 
-	// Service holds what a configuration says of a service's servers.
+	// Service is the configuration of a service's servers.
 	Service struct {
-		// ColdTime is how long a server stays cold after its start.
+		// ColdTime is the duration of the slow start of a server.
 		ColdTime time.Duration `json:"coldTime"`
-		// ColdRate is how many requests a second a cold server takes from all
-		// entries together.
+		// ColdRate is the number of requests per second that a cold server handles
+		// from all entries together.
 		ColdRate float64 `json:"coldRate"`
 	}
 
-	// ColdBound is how far the requests of all entries to a cold server may go
-	// over its rate.
+	// ColdBound is the permitted excess of all entries' requests over a cold server's
+	// rate.
 	ColdBound struct {
-		// Overshoot is a factor on the rate.
+		// Overshoot is a factor applied to the rate.
 		Overshoot float64
-		// Allowance is how many more they may be in a second.
+		// Allowance is a number of requests per second on top.
 		Allowance float64
 	}
 
-	// View is an immutable state of the roster.
+	// View is an immutable snapshot of the roster.
 	View struct {
 		services map[id.Service][]*Member
 		// regions counts the servers of each service by region.
 		regions map[id.Service]map[id.Region]int
 	}
 
-	// Roster holds the servers. Its exported fields are set before its first
-	// use. It is safe for concurrent use.
+	// Roster holds the backend servers. Its exported fields must be set before its
+	// first use. It is safe for concurrent use.
 	Roster struct {
-		// Grace is how long after the store's return a missing server is kept.
+		// Grace is the grace period for missing servers after the store's recovery.
 		Grace time.Duration
-		// Log gets a line for each change of what may be used.
+		// Log receives a message for each change of the servers, the evacuated zones
+		// and the reachability of zones.
 		Log *slog.Logger
 
 		view atomic.Pointer[View]
 
 		mu        sync.Mutex
 		members   map[id.Server]*Member
-		reaches   map[id.Zone]*reach
-		paces     map[id.Service]*pace
+		zones     map[id.Zone]*reachability
+		baselines map[id.Service]*baseline
 		services  map[id.Service]Service
 		evacuated map[id.Zone]bool
 		resumed   time.Time
 		self      netip.AddrPort
 		others    []netip.AddrPort
 		sharing   sharing
-		shared    *sharing // as published
+		published *sharing // copy used by the current view
 	}
 
-	// sharing says how entries share a cold server's rate. The seeds stand for
-	// the entries in rankings.
+	// sharing determines how the entries divide a cold server's rate. The seeds
+	// identify the entries in rendezvous hashing.
 	sharing struct {
-		known  bool // the others are known
+		known  bool // set once the other entries are known
 		self   uint64
 		others []uint64
 		bound  ColdBound
 	}
 )
 
-// View returns the current state.
+// View returns the current snapshot.
 func (r *Roster) View() *View {
 	if v := r.view.Load(); v != nil {
 		return v
@@ -127,12 +129,12 @@
 	return &View{}
 }
 
-// Members returns the servers of a service that may get requests. The caller
-// must not change the slice.
+// Members returns the servers of a service that are eligible for requests, by name.
+// The caller must not change the slice.
 func (v *View) Members(svc id.Service) []*Member { return v.services[svc] }
 
-// Servers returns the servers that are known, those that are leaving included, by
-// name.
+// Servers returns the registrations of all known servers, including those that are
+// leaving, by name.
 func (r *Roster) Servers(now time.Time) []Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +148,8 @@
 	return out
 }
 
-// All returns all servers that are known, by service and name.
+// All returns all known servers, including those that are not eligible for requests,
+// by service and name.
 func (r *Roster) All() []*Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,18 +164,18 @@
 	return out
 }
 
-// Evacuated returns the zones whose servers get nothing, by name.
+// Evacuated returns the zones whose servers get no requests, by name.
 func (r *Roster) Evacuated() []id.Zone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return zoneNames(r.evacuated)
 }
 
-// Regions returns the number of servers of a service in each region that has any.
-// The caller must not change the map.
+// Regions returns the number of servers of a service in each region that has any. The
+// caller must not change the map.
 func (v *View) Regions(svc id.Service) map[id.Region]int { return v.regions[svc] }
 
-// Put adds a server or takes in that it changed.
+// Put adds a server or applies a change of its registration.
 func (r *Roster) Put(now time.Time, s Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +185,7 @@
 	}
 }
 
-// Remove takes in that a server's registration is gone.
+// Remove applies the removal of a server's registration.
 func (r *Roster) Remove(now time.Time, name id.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +195,7 @@
 	}
 }
 
-// Replace takes in a whole list of the registrations.
+// Replace applies a complete list of the registrations.
 func (r *Roster) Replace(now time.Time, list []Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,21 +212,21 @@
 	r.publish()
 }
 
-// Resumed notes that the store answers again after it was away.
+// Resumed records that the store is available again after an outage.
 func (r *Roster) Resumed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resumed = now
 }
 
-// Step ends the graces that have passed and compares the servers of each service.
-// It is called some times a second.
+// Step removes the servers whose grace period has passed and runs outlier detection
+// within each service. It is called several times a second.
 func (r *Roster) Step(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
 	for name, m := range r.members {
-		if !m.lapses.IsZero() && !now.Before(m.lapses) {
+		if !m.graceEnd.IsZero() && !now.Before(m.graceEnd) {
 			r.drop(name, "registration lapsed")
 			changed = true
 		}
@@ -231,11 +234,11 @@
 	if changed {
 		r.publish()
 	}
-	r.judge(now)
+	r.detectOutliers(now)
 }
 
-// judge compares the servers of each service.
-func (r *Roster) judge(now time.Time) {
+// detectOutliers compares the servers of each service.
+func (r *Roster) detectOutliers(now time.Time) {
 	for _, list := range r.View().services {
 		var mean outlier.Seen
 		for _, m := range list {
@@ -244,13 +247,13 @@
 			mean.Surplus += seen.Surplus / float64(len(list))
 		}
 		for _, m := range list {
-			m.state.judge(now, mean)
+			m.state.setOutlier(now, mean)
 		}
 	}
 }
 
-// Evacuate sets the zones whose servers get nothing. Servers of a zone that is
-// taken back may be cold.
+// Evacuate sets the zones whose servers get no requests. The servers of a zone whose
+// evacuation ends are treated as cold.
 func (r *Roster) Evacuate(now time.Time, zones map[id.Zone]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -259,7 +262,7 @@
 	}
 	for _, m := range r.members {
 		if r.evacuated[m.Zone] && !zones[m.Zone] {
-			m.state.chill(now.Add(r.services[m.Service].ColdTime))
+			m.state.extendCold(now.Add(r.services[m.Service].ColdTime))
 		}
 	}
 	r.Log.Info("evacuated zones changed", "before", zoneNames(r.evacuated), "now", zoneNames(zones))
@@ -267,7 +270,7 @@
 	r.publish()
 }
 
-// Configure sets what a configuration says of the services.
+// Configure sets the configuration of the services.
 func (r *Roster) Configure(services map[id.Service]Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,7 +278,7 @@
 	r.publish()
 }
 
-// SetColdBound sets how far requests may go over a cold server's rate.
+// SetColdBound sets the permitted excess over a cold server's rate.
 func (r *Roster) SetColdBound(b ColdBound) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,8 +286,8 @@
 	r.publish()
 }
 
-// SetEntries sets the entries that share a cold server's rate, by an address of
-// each. Before the first call, cold servers get nothing.
+// SetEntries sets the entries that share a cold server's rate, each identified by an
+// address. Before the first call, cold servers get no requests.
 func (r *Roster) SetEntries(self netip.AddrPort, others []netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,7 +302,7 @@
 	r.publish()
 }
 
-// rank returns how many other entries come before this one for a server.
+// rank returns the number of other entries that rank above this one for a server.
 func (s *sharing) rank(server uint64) int {
 	own, rank := owner.Score(s.self, server), 0
 	for _, seed := range s.others {
@@ -312,21 +315,21 @@
 
 func entrySeed(entry netip.AddrPort) uint64 { return owner.Seed(id.Server(entry.String())) }
 
-// put returns whether anything has changed.
+// put reports whether anything has changed.
 func (r *Roster) put(now time.Time, s Server) bool {
 	if r.members == nil {
 		r.members = make(map[id.Server]*Member)
 	}
 	old := r.members[s.Name]
-	if old != nil && old.Server == s && old.lapses.IsZero() {
+	if old != nil && old.Server == s && old.graceEnd.IsZero() {
 		return false
 	}
-	m := newMember(s, r.reach(s.Zone), r.pace(s.Service))
+	m := newMember(s, r.zone(s.Zone), r.baseline(s.Service))
 	if old != nil && old.Born == s.Born && old.Service == s.Service && old.Address == s.Address {
 		m.state = old.state
 	}
 	if s.Cold > 0 {
-		m.state.chill(now.Add(s.Cold))
+		m.state.extendCold(now.Add(s.Cold))
 	}
 	r.members[s.Name] = m
 	r.Log.Info("backend server known", "server", s.Name, "service", s.Service, "zone", s.Zone,
@@ -334,40 +337,40 @@
 	return true
 }
 
-// reach returns what is known of the path to a zone.
-func (r *Roster) reach(zone id.Zone) *reach {
-	if r.reaches == nil {
-		r.reaches = make(map[id.Zone]*reach)
+// zone returns the reachability of a zone.
+func (r *Roster) zone(zone id.Zone) *reachability {
+	if r.zones == nil {
+		r.zones = make(map[id.Zone]*reachability)
 	}
-	if r.reaches[zone] == nil {
-		r.reaches[zone] = &reach{zone: zone, log: r.Log}
+	if r.zones[zone] == nil {
+		r.zones[zone] = &reachability{zone: zone, log: r.Log}
 	}
-	return r.reaches[zone]
+	return r.zones[zone]
 }
 
-// pace returns what is known of a service's servers as a whole.
-func (r *Roster) pace(svc id.Service) *pace {
-	if r.paces == nil {
-		r.paces = make(map[id.Service]*pace)
+// baseline returns the baseline of a service.
+func (r *Roster) baseline(svc id.Service) *baseline {
+	if r.baselines == nil {
+		r.baselines = make(map[id.Service]*baseline)
 	}
-	if r.paces[svc] == nil {
-		r.paces[svc] = &pace{}
+	if r.baselines[svc] == nil {
+		r.baselines[svc] = &baseline{}
 	}
-	return r.paces[svc]
+	return r.baselines[svc]
 }
 
-// remove returns whether a server is gone.
+// remove reports whether a server was removed.
 func (r *Roster) remove(now time.Time, name id.Server) bool {
 	m := r.members[name]
 	if m == nil {
 		return false
 	}
 	if !r.resumed.IsZero() && now.Before(r.resumed.Add(r.Grace)) && !m.Leaving {
-		if m.lapses.IsZero() {
+		if m.graceEnd.IsZero() {
 			kept := *m
-			kept.lapses = r.resumed.Add(r.Grace)
+			kept.graceEnd = r.resumed.Add(r.Grace)
 			r.members[name] = &kept
-			r.Log.Info("backend server kept after a store outage", "server", name, "until", kept.lapses)
+			r.Log.Info("backend server kept after a store outage", "server", name, "until", kept.graceEnd)
 		}
 		return false
 	}
@@ -380,15 +383,15 @@
 	r.Log.Info("backend server gone", "server", name, "cause", cause)
 }
 
-// publish makes a new view. Members are ordered by name, so that equal rosters
-// give equal views.
+// publish builds a new view. Members are sorted by name, so that equal rosters give
+// equal views.
 func (r *Roster) publish() {
 	shared := r.sharing
-	r.shared = &shared
+	r.published = &shared
 	v := &View{services: make(map[id.Service][]*Member), regions: make(map[id.Service]map[id.Region]int)}
 	for _, m := range r.members {
-		if r.visible(m) {
-			v.services[m.Service] = append(v.services[m.Service], r.configured(m, r.shared))
+		if r.eligible(m) {
+			v.services[m.Service] = append(v.services[m.Service], r.configured(m, r.published))
 		}
 	}
 	for svc, list := range v.services {
@@ -398,10 +401,11 @@
 	r.view.Store(v)
 }
 
-// publishOne makes a new view in which one server differs, given as it was before;
-// thousands may come one by one as a deployment starts.
+// publishOne builds a new view in which only one server differs, given its state
+// before the change. Rebuilding the whole view is too expensive when thousands of
+// servers register one by one at the start of a deployment.
 func (r *Roster) publishOne(before *Member, name id.Server) {
-	if r.shared == nil {
+	if r.published == nil {
 		r.publish()
 		return
 	}
@@ -411,17 +415,17 @@
 		v.drop(before.Service, name)
 		v.count(before.Service)
 	}
-	if m := r.members[name]; m != nil && r.visible(m) {
-		v.insert(r.configured(m, r.shared))
+	if m := r.members[name]; m != nil && r.eligible(m) {
+		v.insert(r.configured(m, r.published))
 		v.count(m.Service)
 	}
 	r.view.Store(v)
 }
 
-// visible tells whether a server may get requests.
-func (r *Roster) visible(m *Member) bool { return !m.Leaving && !r.evacuated[m.Zone] }
+// eligible reports whether a server's registration and zone allow requests.
+func (r *Roster) eligible(m *Member) bool { return !m.Leaving && !r.evacuated[m.Zone] }
 
-// count counts a service's servers by region.
+// count updates the number of a service's servers per region.
 func (v *View) count(svc id.Service) {
 	regions := make(map[id.Region]int)
 	for _, m := range v.services[svc] {
@@ -452,7 +456,7 @@
 	v.services[m.Service] = slices.Insert(slices.Clone(v.services[m.Service]), i, m)
 }
 
-// Member returns a server that may get requests, nil if there is none of the name.
+// Member returns the eligible server of that name, nil if there is none.
 func (v *View) Member(svc id.Service, name id.Server) *Member {
 	if i, found := v.find(svc, name); found {
 		return v.services[svc][i]
@@ -460,7 +464,7 @@
 	return nil
 }
 
-// configured returns a server with what the configuration says of its service.
+// configured returns a copy of the member with the configuration of its service.
 func (r *Roster) configured(m *Member, shared *sharing) *Member {
 	c := *m
 	c.cold, c.sharing = r.services[m.Service], shared
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -50,7 +50,7 @@
 	return out
 }
 
-func TestWhoMayGetRequests(t *testing.T) {
+func TestEligibleServers(t *testing.T) {
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	tests := map[string]struct {
 		do   func(r *roster.Roster)
@@ -77,16 +77,16 @@
 			r.Put(at(time.Second), server("i-1"))
 			r.Step(at(time.Minute))
 		}, []id.Server{"i-1", "i-2"}},
-		"missing since an outage for longer than the grace": {func(r *roster.Roster) {
+		"missing since an outage for longer than the grace period": {func(r *roster.Roster) {
 			r.Resumed(start)
 			r.Replace(start, []roster.Server{server("i-2")})
 			r.Step(at(grace))
 		}, []id.Server{"i-2"}},
-		"removed before, by an entry that others were ahead of": {func(r *roster.Roster) {
-			r.Resumed(start.Add(-grace)) // the store was back for others by then
+		"missing a grace period after the store's recovery": {func(r *roster.Roster) {
+			r.Resumed(start.Add(-grace)) // the store recovered a whole grace period before
 			r.Replace(start, []roster.Server{server("i-2")})
 		}, []id.Server{"i-2"}},
-		"removed after the grace": {func(r *roster.Roster) {
+		"removed after the grace period": {func(r *roster.Roster) {
 			r.Resumed(start)
 			r.Remove(at(grace), "i-1")
 		}, []id.Server{"i-2"}},
@@ -109,7 +109,7 @@
 	}
 }
 
-// begun returns how many requests a server takes in a moment.
+// begun returns the number of requests that a server accepts at one moment.
 func begun(r *roster.Roster, now time.Time) int {
 	n := 0
 	for n < 100 && r.View().Members(svc)[0].Begin(now) {
@@ -119,7 +119,7 @@
 }
 
 func TestColdServers(t *testing.T) {
-	const share = 4 // of 27 a second by seven entries: six have 4, and one 3
+	const share = 4 // 27 requests per second among seven entries: six get 4, and one gets 3
 	fresh := func(r *roster.Roster) { r.Put(start, server("i-1")) }
 	tests := map[string]struct {
 		do   func(r *roster.Roster)
@@ -137,7 +137,7 @@
 			s.Cold = 3 * time.Second
 			r.Put(start, s)
 		}, 3 * time.Second, 100},
-		"zone taken back": {func(r *roster.Roster) {
+		"evacuation of its zone ended": {func(r *roster.Roster) {
 			fresh(r)
 			r.Evacuate(start, map[id.Zone]bool{"a-1": true})
 			r.Evacuate(start, nil)
@@ -182,18 +182,18 @@
 	// Six run and two wait, of which this entry has two.
 	m.End(start, roster.Outcome{Event: health.Answered, Load: &roster.Load{Running: 6, Waiting: 2}})
 	is.Equal(m.Busy(start), 1.0+6.0)
-	is.True(m.Busy(start.Add(5*time.Second)) < 1.1) // the report has aged
+	is.True(m.Busy(start.Add(5*time.Second)) < 1.1) // the report has decayed
 }
 
-// Of a server that this entry heard nothing from, it believes what the others of
-// the service report.
-func TestBusyAsUsual(t *testing.T) {
+// The load of a server without reports is estimated from the reports of the other
+// servers of its service.
+func TestLoadEstimateWithoutReports(t *testing.T) {
 	const work = 100 * time.Millisecond
 	full := &roster.Load{Running: 6, Waiting: 6}
 	tests := map[string]struct {
 		outcome roster.Outcome
 		at      time.Duration
-		// busy and expected are those of another server of the service then; the
+		// busy and expected are the estimates for another server of the service; the
 		// request that ended is not counted.
 		busy     float64
 		expected time.Duration
@@ -201,8 +201,8 @@
 		"nothing is known":         {roster.Outcome{Event: health.Answered}, 0, 0, 0},
 		"the others queue":         {roster.Outcome{Event: health.Answered, Load: full, Latency: 2 * work}, 0, 11, 183 * time.Millisecond},
 		"the others have room":     {roster.Outcome{Event: health.Answered, Load: &roster.Load{Running: 3}, Latency: work}, 0, 2, work},
-		"nobody was asked lately":  {roster.Outcome{Event: health.Answered, Load: full, Latency: 2 * work}, 20 * time.Second, 0, work},
-		"no latency without load":  {roster.Outcome{Event: health.Answered, Latency: work}, 0, 0, 0},
+		"no recent answers":        {roster.Outcome{Event: health.Answered, Load: full, Latency: 2 * work}, 20 * time.Second, 0, work},
+		"latency but no load":      {roster.Outcome{Event: health.Answered, Latency: work}, 0, 0, 0},
 		"refused by a full server": {roster.Outcome{Event: health.Answered, Failed: true, Load: full}, 0, 11, 0},
 	}
 	for name, tt := range tests {
@@ -221,9 +221,9 @@
 	}
 }
 
-// A server that gives no answer in time has at least as many requests as take
+// After a time-out, the server is assumed to have at least as many requests as take
 // that long.
-func TestSilenceTellsOfLoad(t *testing.T) {
+func TestTimeoutRaisesLoadEstimate(t *testing.T) {
 	is := is.New(t)
 	r := newRoster()
 	r.Put(start, server("i-1"))
@@ -232,10 +232,10 @@
 	m.End(start, roster.Outcome{Event: health.Answered, Load: &roster.Load{}, Latency: 100 * time.Millisecond})
 	m.Begin(start)
 	m.End(start, roster.Outcome{Event: health.Silent, Latency: 300 * time.Millisecond})
-	is.Equal(math.Round(m.Busy(start)), 17.0) // 3 times 6 slots, less the one that ended
+	is.Equal(math.Round(m.Busy(start)), 17.0) // 3 times 6 slots, minus the request that ended
 }
 
-func TestEntriesShareAColdRate(t *testing.T) {
+func TestEntriesTogetherKeepColdRate(t *testing.T) {
 	tests := map[string]struct {
 		entries int
 		rate    float64
@@ -269,16 +269,16 @@
 	}
 }
 
-// fail lets a request to a server find that it takes no connection.
+// fail sends a request to a server whose connection attempt fails.
 func fail(r *roster.Roster, i int, at time.Time) {
 	m := r.View().Members(svc)[i]
 	m.Begin(at)
 	m.End(at, roster.Outcome{Event: health.ConnectFailed, Failed: true})
 }
 
-// A zone that is out of reach is found by a few of its servers, and gets no
-// requests until a check, or the answer to an earlier request, shows it in reach.
-func TestZoneOutOfReach(t *testing.T) {
+// A zone counts as unreachable after connection failures at three of its servers, and
+// then gets no requests until a check succeeds or an earlier request is answered.
+func TestUnreachableZone(t *testing.T) {
 	lose := func(r *roster.Roster) {
 		for i := range 3 {
 			fail(r, i, start)
@@ -322,9 +322,9 @@
 	}
 }
 
-// A process that doesn't know yet how many share a cold server's rate sends nothing
-// there.
-func TestColdServersOfAnEntryThatKnowsNoOthers(t *testing.T) {
+// An entry that doesn't know yet how many entries share a cold server's rate sends it
+// no requests.
+func TestNoRequestsToColdServersBeforeEntriesAreKnown(t *testing.T) {
 	is := is.New(t)
 	r := &roster.Roster{Log: slog.New(slog.DiscardHandler)}
 	r.Configure(map[id.Service]roster.Service{svc: {ColdTime: 3 * time.Second, ColdRate: 30}})
@@ -337,8 +337,8 @@
 	is.True(begun(r, start) > 0)
 }
 
-// Requests don't find out whether a server takes connections again; checks do.
-func TestChecks(t *testing.T) {
+// Connection checks, not requests, detect that a server accepts connections again.
+func TestConnectionChecks(t *testing.T) {
 	is := is.New(t)
 	r := newRoster()
 	for _, name := range []id.Server{"i-1", "i-2", "i-3", "i-4"} {
@@ -346,16 +346,16 @@
 	}
 	is.Equal(len(r.Checks(start)), 0)
 	fail(r, 0, start)
-	is.Equal(len(r.Checks(start)), 0) // one failure puts no server out
+	is.Equal(len(r.Checks(start)), 0) // a single failure is tolerated
 	fail(r, 0, start)
 	first := r.View().Members(svc)[0]
 	is.Equal(len(r.Checks(start.Add(500*time.Millisecond))), 0) // too soon
 	at := start.Add(time.Second)
 	is.True(!first.Ready(at))
 	is.Equal(r.Checks(at), []*roster.Member{first})
-	is.Equal(len(r.Checks(at)), 0) // it is being checked
+	is.Equal(len(r.Checks(at)), 0) // a check is already running
 	r.Checked(at, first, false)
-	is.Equal(len(r.Checks(at.Add(time.Second))), 0) // the pause has doubled
+	is.Equal(len(r.Checks(at.Add(time.Second))), 0) // the interval has doubled
 	at = at.Add(2 * time.Second)
 	is.Equal(len(r.Checks(at)), 1)
 	r.Checked(at, first, true)
@@ -366,8 +366,8 @@
 	is.True(first.Begin(at))
 }
 
-// When a zone is reached again, each of its servers is checked at once.
-func TestZoneRegained(t *testing.T) {
+// When a zone becomes reachable again, all of its failed servers are checked at once.
+func TestZoneRecoveryChecksFailedServers(t *testing.T) {
 	is := is.New(t)
 	r := newRoster()
 	for _, name := range []id.Server{"i-1", "i-2", "i-3", "i-4"} {
@@ -379,17 +379,17 @@
 	}
 	at := start.Add(200 * time.Millisecond)
 	due := r.Checks(at)
-	is.Equal(len(due), 1) // one of the zone
+	is.Equal(len(due), 1) // one server of the zone
 	is.Equal(len(r.Checks(at.Add(100*time.Millisecond))), 0)
 	r.Checked(at, due[0], true)
 	for i, m := range r.View().Members(svc) {
-		is.Equal(m.Ready(at), i == 3 || m == due[0]) // those that failed stay out
+		is.Equal(m.Ready(at), i == 3 || m == due[0]) // the other failed servers are not eligible yet
 	}
 	is.True(len(r.Checks(at)) >= 2)
 }
 
-// Servers that come and go one by one give the same view as a whole list.
-func TestViewsOfOneChange(t *testing.T) {
+// Incremental changes result in the same view as a complete list.
+func TestIncrementalViewEqualsFullView(t *testing.T) {
 	names := func(r *roster.Roster) map[id.Service][]id.Server {
 		out := map[id.Service][]id.Server{}
 		for _, service := range []id.Service{svc, "other"} {
--- a/internal/roster/zone.go
+++ b/internal/roster/zone.go
@@ -9,84 +9,86 @@
 )
 
 const (
-	// suspectServers is how many servers of a zone must be out of reach, with no
-	// answer from the zone meanwhile, until the whole zone is taken to be.
-	suspectServers = 3
-	// suspectSpan is the time in which they must fail.
-	suspectSpan = 2 * time.Second
-	// zoneCheckTime is the pause between two checks of a zone that is out of reach:
-	// the longest time that its callers wait for its return.
-	zoneCheckTime = 300 * time.Millisecond
+	// zoneFailureServers is the number of servers of a zone that must be unreachable,
+	// without an answer from the zone in between, before the whole zone counts as
+	// unreachable.
+	zoneFailureServers = 3
+	// zoneFailureWindow is the time within which they must fail.
+	zoneFailureWindow = 2 * time.Second
+	// zoneCheckInterval is the interval between checks of an unreachable zone, and so
+	// the maximum delay until its recovery is detected.
+	zoneCheckInterval = 300 * time.Millisecond
 )
 
-// reach is what this entry knows of its path to an availability zone. When a zone
-// loses power or is cut off, it would otherwise find out server by server.
-type reach struct {
+// reachability tracks whether this entry can reach an availability zone. Without it,
+// a power loss or network partition of a zone would have to be detected server by
+// server.
+type reachability struct {
 	zone id.Zone
 	log  *slog.Logger
 
-	mu       sync.Mutex
-	failed   map[id.Server]time.Time // since the last answer
-	lost     bool                    // the zone is out of reach
-	regained time.Time               // when it was last reached again
-	checked  time.Time
-	turn     int // counts the checks
+	mu          sync.Mutex
+	failures    map[id.Server]time.Time // time of the last failure by server, since the last answer
+	unreachable bool
+	recovered   time.Time // when it last became reachable again
+	lastCheck   time.Time
+	checks      int // number of checks, selects the next server
 }
 
-// answered notes that a server of the zone answered or took a connection.
-func (r *reach) answered(now time.Time) {
+// succeeded records that a server of the zone answered or accepted a connection.
+func (r *reachability) succeeded(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.failed)
-	if r.lost {
-		r.lost, r.regained = false, now
+	clear(r.failures)
+	if r.unreachable {
+		r.unreachable, r.recovered = false, now
 		r.log.Info("zone reached again", "zone", r.zone)
 	}
 }
 
-// unreached notes that a server of the zone is out of reach.
-func (r *reach) unreached(now time.Time, name id.Server) {
+// connectFailed records that a connection to a server of the zone failed.
+func (r *reachability) connectFailed(now time.Time, name id.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.failed == nil {
-		r.failed = make(map[id.Server]time.Time)
+	if r.failures == nil {
+		r.failures = make(map[id.Server]time.Time)
 	}
-	r.failed[name] = now
+	r.failures[name] = now
 	recent := 0
-	for _, at := range r.failed {
-		if now.Sub(at) < suspectSpan {
+	for _, at := range r.failures {
+		if now.Sub(at) < zoneFailureWindow {
 			recent++
 		}
 	}
-	if !r.lost && recent >= suspectServers {
-		r.lost = true
+	if !r.unreachable && recent >= zoneFailureServers {
+		r.unreachable = true
 		r.log.Warn("zone out of reach", "zone", r.zone, "servers", recent)
 	}
 }
 
-// open tells whether requests may go to the zone.
-func (r *reach) open() bool {
+// ok reports whether requests may be sent to the zone.
+func (r *reachability) ok() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.lost
+	return !r.unreachable
 }
 
-// regainedSince tells whether the zone was reached again after a time.
-func (r *reach) regainedSince(at time.Time) bool {
+// recoveredSince reports whether the zone became reachable again after the given time.
+func (r *reachability) recoveredSince(at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.regained.After(at)
+	return r.recovered.After(at)
 }
 
-// check returns which of so many servers of the zone is to be checked now; -1 if
-// none is.
-func (r *reach) check(now time.Time, servers int) int {
+// nextCheck returns the index of the server to check now, among the given number of
+// servers of the zone; -1 if no check is due.
+func (r *reachability) nextCheck(now time.Time, servers int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.lost || servers == 0 || now.Sub(r.checked) < zoneCheckTime {
+	if !r.unreachable || servers == 0 || now.Sub(r.lastCheck) < zoneCheckInterval {
 		return -1
 	}
-	r.checked = now
-	r.turn++
-	return r.turn % servers
+	r.lastCheck = now
+	r.checks++
+	return r.checks % servers
 }
