--- a/internal/outlier/baseline.go
+++ b/internal/outlier/baseline.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// baselineWeight is the part of one answer in a Baseline: some hundred answers
-// count.
+// baselineWeight is the weight of one answer in a Baseline, which thus covers about
+// the last hundred answers.
 const baselineWeight = 0.01
 
-// Baseline is how long answers to requests of one kind usually take. The zero
-// Baseline takes the first answer as usual. It is safe for concurrent use.
+// Baseline is the exponentially weighted moving average of the latency of requests of
+// one kind. The zero Baseline is initialised by the first answer. It is safe for
+// concurrent use.
 type Baseline struct {
 	mu   sync.Mutex
 	mean float64 // seconds
 }
 
-// Compare returns a latency as a multiple of the usual, and takes it in.
+// Compare returns the latency as a multiple of the average and then adds it to the
+// average.
 func (b *Baseline) Compare(latency time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/outlier/record.go
+++ b/internal/outlier/record.go
@@ -1,17 +1,17 @@
-// Package outlier tells backend servers that fail or slow down from those that
-// are as good as the rest of their service.
+// Package outlier implements outlier detection: it finds the backend servers that
+// fail more often or are slower than the other servers of their service.
 //
-// A [Record] holds what this entry's requests met at one server: how often they
-// failed, and how long they took as a multiple of what requests of their kind
-// usually take. Both fade, so that a server is tried again after a while. A
-// server is only an outlier in comparison: if all fail alike, none is.
+// A [Record] holds two averages over this entry's requests to one server: the failure
+// rate, and the latency as a multiple of the [Baseline] of requests of the same kind.
+// Both decay, so that the server is tried again after a while. A server is only an
+// outlier in comparison with its service: if all servers fail alike, none is.
 //
 // # Usage
 //
 //	r.Observe(now, false, 0)   // a request failed
-//	r.Observe(now, true, 1.2)  // one took 1.2 times as long as usual
+//	r.Observe(now, true, 1.2)  // one took 1.2 times the baseline
 //	if r.Outlier(now, meanOfTheService) {
-//		// other servers first
+//		// prefer other servers
 //	}
 package outlier
 
@@ -21,80 +21,81 @@
 )
 
 const (
-	// fade is the time in which half of what was seen is forgotten, some times
-	// the usual gap between two requests of one entry to one server.
-	fade = 3 * time.Second
-	// weight is the part of one observation in the averages.
+	// halfLife is the half-life of the averages, a few times the usual interval
+	// between two requests of one entry to one server.
+	halfLife = 3 * time.Second
+	// weight is the weight of one request in the averages.
 	weight = 0.15
-	// failureMargin is how much more often a server must fail than the mean, as
-	// a part of its requests; single failures in a hundred are usual.
+	// failureMargin is the failure rate above twice the mean that makes a server an
+	// outlier. A few failures in a hundred requests are normal.
 	failureMargin = 0.15
-	// negligible is what is forgotten wholly, so that servers without requests cost
-	// nothing to judge.
+	// negligible is the value below which both averages are reset to 0, so that
+	// servers without requests cost nothing to evaluate.
 	negligible = 1e-6
-	// slowFactor is how many times as long as the mean its requests must take;
-	// chance alone makes averages differ by a factor of two.
+	// slowFactor is the multiple of the mean latency that makes a server an outlier.
+	// Averages differ by a factor of two by chance alone.
 	slowFactor = 2.5
 )
 
 type (
-	// Seen sums up what was seen of a server, or of all servers of a service.
-	Seen struct {
+	// Stats holds the averages of a server, or their means over the servers of a
+	// service.
+	Stats struct {
 		// Failures is the share of failed requests, 0 to 1.
 		Failures float64
-		// Surplus is how much longer than usual requests took, as a multiple
-		// of the usual; 0 is as long as usual.
-		Surplus float64
+		// Excess is the latency above the baseline, as a multiple of the baseline; 0
+		// if the latency does not exceed it.
+		Excess float64
 	}
 
-	// Record is what was seen of one server. The zero Record has seen nothing.
-	// It is not safe for concurrent use.
+	// Record holds the averages of one server. The zero Record has no data. It is not
+	// safe for concurrent use.
 	Record struct {
-		at   time.Time
-		seen Seen
+		at    time.Time
+		stats Stats
 	}
 )
 
-// Observe takes in one request: whether it was answered well, and how long the
-// answer took as a multiple of the usual; 0 if that says nothing.
+// Observe records one request: whether it succeeded, and its latency as a multiple of
+// the baseline; 0 if the latency is not meaningful.
 func (r *Record) Observe(now time.Time, ok bool, times float64) {
-	r.settle(now)
+	r.decay(now)
 	failed := 0.0
 	if !ok {
 		failed = 1
 	}
-	r.seen.Failures += weight * (failed - r.seen.Failures)
+	r.stats.Failures += weight * (failed - r.stats.Failures)
 	if ok && times > 0 {
-		r.seen.Surplus += weight * (max(times-1, 0) - r.seen.Surplus)
+		r.stats.Excess += weight * (max(times-1, 0) - r.stats.Excess)
 	}
 }
 
-// Seen returns what is remembered.
-func (r *Record) Seen(now time.Time) Seen {
-	r.settle(now)
-	return r.seen
+// Stats returns the current averages.
+func (r *Record) Stats(now time.Time) Stats {
+	r.decay(now)
+	return r.stats
 }
 
-// Outlier tells whether the server fails much more often than the mean of its
+// Outlier reports whether the server fails much more often than the mean of its
 // service, or is much slower.
-func (r *Record) Outlier(now time.Time, mean Seen) bool {
-	r.settle(now)
-	return r.seen.Failures > 2*mean.Failures+failureMargin || 1+r.seen.Surplus > slowFactor*(1+mean.Surplus)
+func (r *Record) Outlier(now time.Time, mean Stats) bool {
+	r.decay(now)
+	return r.stats.Failures > 2*mean.Failures+failureMargin || 1+r.stats.Excess > slowFactor*(1+mean.Excess)
 }
 
-// settle fades what was seen.
-func (r *Record) settle(now time.Time) {
-	if r.seen == (Seen{}) {
-		r.at = now // nothing fades
+// decay applies the decay since the last call.
+func (r *Record) decay(now time.Time) {
+	if r.stats == (Stats{}) {
+		r.at = now // nothing to decay
 		return
 	}
 	if now.After(r.at) {
 		if !r.at.IsZero() {
-			f := math.Exp2(-float64(now.Sub(r.at)) / float64(fade))
-			r.seen.Failures *= f
-			r.seen.Surplus *= f
-			if r.seen.Failures < negligible && r.seen.Surplus < negligible {
-				r.seen = Seen{}
+			f := math.Exp2(-float64(now.Sub(r.at)) / float64(halfLife))
+			r.stats.Failures *= f
+			r.stats.Excess *= f
+			if r.stats.Failures < negligible && r.stats.Excess < negligible {
+				r.stats = Stats{}
 			}
 		}
 		r.at = now
--- a/internal/outlier/record_test.go
+++ b/internal/outlier/record_test.go
@@ -11,24 +11,24 @@
 
 func TestOutlier(t *testing.T) {
 	const requests = 40
-	var none outlier.Seen
+	var none outlier.Stats
 	tests := map[string]struct {
-		failEach int // every n-th request fails
+		failEach int // every n-th request fails, 0 for none
 		times    float64
-		mean     outlier.Seen
+		mean     outlier.Stats
 		pause    time.Duration
 		want     bool
 	}{
-		"sound":                        {0, 1, none, 0, false},
-		"half fail":                    {2, 1, none, 0, true},
-		"half fail at all servers":     {2, 1, outlier.Seen{Failures: 0.5}, 0, false},
-		"one in forty fails":           {40, 1, none, 0, false},
-		"five times as slow":           {0, 5, none, 0, true},
-		"slow like all others":         {0, 5, outlier.Seen{Surplus: 4}, 0, false},
-		"twice as slow":                {0, 2, none, 0, false},
-		"failed some time ago":         {2, 1, none, 10 * time.Second, false},
-		"slow but seen some time ago":  {0, 5, none, 10 * time.Second, false},
-		"faster than usual and failed": {3, 0.3, none, 0, true},
+		"healthy":                  {0, 1, none, 0, false},
+		"half fail":                {2, 1, none, 0, true},
+		"half fail at all servers": {2, 1, outlier.Stats{Failures: 0.5}, 0, false},
+		"one in forty fails":       {40, 1, none, 0, false},
+		"five times the baseline":  {0, 5, none, 0, true},
+		"slow like all others":     {0, 5, outlier.Stats{Excess: 4}, 0, false},
+		"twice the baseline":       {0, 2, none, 0, false},
+		"failed some time ago":     {2, 1, none, 10 * time.Second, false},
+		"slow some time ago":       {0, 5, none, 10 * time.Second, false},
+		"fails and is faster":      {3, 0.3, none, 0, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -223,13 +223,13 @@
 	return float64(s.inFlight) + s.others*known + usual*(1-known)
 }
 
-func (s *state) seen(now time.Time) outlier.Seen {
+func (s *state) stats(now time.Time) outlier.Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.record.Seen(now)
+	return s.record.Stats(now)
 }
 
-func (s *state) setOutlier(now time.Time, mean outlier.Seen) {
+func (s *state) setOutlier(now time.Time, mean outlier.Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outlier = s.record.Outlier(now, mean)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -240,11 +240,11 @@
 // detectOutliers compares the servers of each service.
 func (r *Roster) detectOutliers(now time.Time) {
 	for _, list := range r.View().services {
-		var mean outlier.Seen
+		var mean outlier.Stats
 		for _, m := range list {
-			seen := m.state.seen(now)
-			mean.Failures += seen.Failures / float64(len(list))
-			mean.Surplus += seen.Surplus / float64(len(list))
+			stats := m.state.stats(now)
+			mean.Failures += stats.Failures / float64(len(list))
+			mean.Excess += stats.Excess / float64(len(list))
 		}
 		for _, m := range list {
 			m.state.setOutlier(now, mean)
