--- a/internal/health/doc.go
+++ b/internal/health/doc.go
@@ -1,23 +1,25 @@
-// Package health forms an entry's opinion on whether a backend server may get
-// a request.
+// Package health implements passive health checks: it decides from an entry's local
+// state whether a backend server may get a request.
 //
-// Three sources speak of a server. Its probe and its load report come late and
-// may mislead. What the entry's own requests met is newer, but is known at this
-// entry alone. An [Opinion] joins them for one decision, whether to send, and
-// there the worse word wins:
+// There are three sources of information on a server. Its probe and its load report
+// arrive late and may be wrong. The results of the entry's own requests are newer,
+// but known at this entry alone. An [Opinion] combines the three into one decision,
+// whether to send. If they disagree, the worse one decides:
 //
-//   - Two failures in a row (no connection, or a connection cut before the
-//     whole answer) put the server out. So does one, if the server was on trial.
-//   - A shed request keeps requests away for a short time, which doubles while
-//     sheds go on.
-//   - A connection that went silent, a late answer, a failed probe that is newer than the last
-//     answer, or no fresh word from any source, allow a trial only.
-//   - A fresh report that the server takes no more keeps it out.
-//   - A probe or report that is missing, stale, from the future or impossible
-//     says nothing, for or against.
+//   - Two consecutive failures (no connection, or a connection closed before the
+//     complete answer) eject the server. A single failure ejects a server that is on
+//     trial.
+//   - A shed request blocks further requests for a short time, which doubles while
+//     requests are shed.
+//   - A stalled connection, a late answer, a failed probe that is newer than the
+//     last answer, or the lack of fresh information from any source, allow a trial
+//     only.
+//   - A fresh report that the server refuses new requests blocks it.
+//   - A probe or report that is missing, stale, from the future or out of range is
+//     ignored.
 //
-// A server comes back by trial: one request at a time, after a time that
-// doubles with each failure. A good probe doesn't bring it back, since a server
+// An ejected server returns by a trial: one request at a time, after a backoff that
+// doubles with each failure. A successful probe doesn't readmit it, since a server
 // may answer probes and nothing else.
 //
 // # Usage
--- a/internal/health/opinion.go
+++ b/internal/health/opinion.go
@@ -7,79 +7,80 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// Verdicts.
+// Verdicts on a server.
 const (
-	// No means that nothing may be sent. It is the zero Verdict.
+	// No means that no request may be sent. It is the zero Verdict.
 	No Verdict = iota
-	// Trial means that one request may be sent to see whether it is answered.
+	// Trial means that a single request may be sent to test the server.
 	Trial
 	// Yes means that requests may be sent.
 	Yes
 )
 
-// What a send met.
+// Results of a send.
 const (
-	// Nothing says nothing of the server, as when the caller went away. It is
-	// the zero Event.
+	// Nothing is a result that does not concern the server's health, as when the
+	// caller disconnected. It is the zero Event.
 	Nothing Event = iota
-	// Answered means that the server gave a whole answer.
+	// Answered means that the server sent a complete answer.
 	Answered
-	// Shed means that it refused the request before running it.
+	// Shed means that the server refused the request before running it (load
+	// shedding).
 	Shed
-	// ConnectFailed means that no connection came about.
+	// ConnectFailed means that no connection could be established.
 	ConnectFailed
-	// Cut means that the connection ended before the whole answer.
+	// Cut means that the connection was closed before the complete answer.
 	Cut
-	// Silent means that a connection made no progress, or that no answer came
-	// within the deadline.
+	// Silent means that a connection stalled, or that no answer arrived within the
+	// deadline.
 	Silent
 )
 
 const (
-	// MaxAge is the greatest age of a probe, report or answer that counts.
+	// MaxAge is the maximum age of a probe, report or answer that is taken into
+	// account.
 	MaxAge = 30 * time.Second
 
-	failuresOut  = 2
-	firstWait    = time.Second
-	longestWait  = 30 * time.Second
-	firstShed    = 250 * time.Millisecond
-	longestShed  = 8 * time.Second
+	maxFailures  = 2
+	minBackoff   = time.Second
+	maxBackoff   = 30 * time.Second
+	minShedPause = 250 * time.Millisecond
+	maxShedPause = 8 * time.Second
 	trialTimeout = 30 * time.Second
 )
 
 type (
-	// Verdict tells whether a request may be sent.
+	// Verdict is the decision whether a request may be sent.
 	Verdict uint8
 
-	// Event is what one send met.
+	// Event is the result of one send.
 	Event uint8
 
-	// Report is a server's own word on its load.
+	// Report is the load that a server reports.
 	Report struct {
-		// Slots is the number of requests it runs at most.
+		// Slots is the maximum number of requests that it runs concurrently.
 		Slots int
-		// Running is the number of requests it runs.
+		// Running is the number of requests that it runs.
 		Running int
-		// Refuses is set while it takes no new requests.
+		// Refuses is set while it refuses new requests.
 		Refuses bool
 	}
 
-	// Opinion is one entry's opinion on one backend server. The zero Opinion
-	// knows nothing of it and allows a trial. It is not safe for concurrent
-	// use.
+	// Opinion is the health of one backend server as seen by one entry. Its zero
+	// value has no information and allows a trial. It is not safe for concurrent use.
 	Opinion struct {
-		answered time.Time
-		doubted  time.Time
-		failures int
-		out      bool
-		wait     time.Duration
-		until    time.Time
-		shed     time.Duration
-		trial    time.Time
+		lastAnswer   time.Time
+		lastStall    time.Time
+		failures     int
+		ejected      bool
+		backoff      time.Duration
+		blockedUntil time.Time
+		shedPause    time.Duration
+		trialBegun   time.Time
 	}
 )
 
-// EventOf returns the event that a result code of a send stands for.
+// EventOf returns the event for the result code of a send.
 func EventOf(code result.Code) Event {
 	switch code {
 	case result.Served, result.Replayed:
@@ -97,100 +98,101 @@
 	}
 }
 
-// Observe takes what a send met.
+// Observe records the result of a send.
 func (o *Opinion) Observe(now time.Time, e Event) {
 	onTrial := o.onTrial(now)
-	o.trial = time.Time{} // another may begin
+	o.trialBegun = time.Time{} // another trial may begin
 	switch e {
 	case Answered:
-		o.answered = now
-		o.failures, o.wait, o.shed, o.out = 0, 0, 0, false
+		o.lastAnswer = now
+		o.failures, o.backoff, o.shedPause, o.ejected = 0, 0, 0, false
 	case Shed:
-		o.shed = grow(o.shed, firstShed, longestShed)
-		o.until = later(o.until, now.Add(o.shed))
+		o.shedPause = grow(o.shedPause, minShedPause, maxShedPause)
+		o.blockedUntil = later(o.blockedUntil, now.Add(o.shedPause))
 	case ConnectFailed, Cut:
 		o.failures++
-		if o.failures >= failuresOut || onTrial {
-			o.out = true
-			o.wait = grow(o.wait, firstWait, longestWait)
-			o.until = later(o.until, now.Add(o.wait))
+		if o.failures >= maxFailures || onTrial {
+			o.ejected = true
+			o.backoff = grow(o.backoff, minBackoff, maxBackoff)
+			o.blockedUntil = later(o.blockedUntil, now.Add(o.backoff))
 		}
 	case Silent:
-		o.doubted = now
+		o.lastStall = now
 	}
 }
 
-// Reached takes in that the server took a connection after it had taken none: it
-// may be tried at once.
+// Reached records that the server accepted a connection after failures: it may be
+// tried at once.
 func (o *Opinion) Reached(now time.Time) {
-	if o.until.After(now) {
-		o.until = now
+	if o.blockedUntil.After(now) {
+		o.blockedUntil = now
 	}
-	o.wait = 0
+	o.backoff = 0
 }
 
-// Out tells whether failures put the server out and no answer came since.
-func (o *Opinion) Out() bool { return o.out }
+// Out reports whether failures ejected the server and no answer arrived since.
+func (o *Opinion) Out() bool { return o.ejected }
 
-// BeginTrial notes that a request is sent under the verdict Trial.
-func (o *Opinion) BeginTrial(now time.Time) { o.trial = now }
+// BeginTrial records that a request is sent under the verdict Trial.
+func (o *Opinion) BeginTrial(now time.Time) { o.trialBegun = now }
 
-// MaySend returns the verdict, and for No the time after which to ask again.
-// The probe tells whether the server answered it.
+// MaySend returns the verdict, and for No the time after which to ask again. The
+// value of probe is whether the server answered it.
 func (o *Opinion) MaySend(now time.Time, probe measured.Value[bool], report measured.Value[Report]) (v Verdict, retryAfter time.Duration) {
 	switch {
-	case now.Before(o.until):
-		return No, o.until.Sub(now)
+	case now.Before(o.blockedUntil):
+		return No, o.blockedUntil.Sub(now)
 	case refuses(now, report):
-		return No, firstWait
-	case !o.out && !o.doubtful(now, probe, report):
+		return No, minBackoff
+	case !o.ejected && !o.doubtful(now, probe, report):
 		return Yes, 0
 	case o.onTrial(now):
-		return No, firstShed
+		return No, minShedPause
 	default:
 		return Trial, 0
 	}
 }
 
 func (o *Opinion) onTrial(now time.Time) bool {
-	return !o.trial.IsZero() && now.Sub(o.trial) < trialTimeout
+	return !o.trialBegun.IsZero() && now.Sub(o.trialBegun) < trialTimeout
 }
 
-// Unproven tells whether nothing speaks against the server, so that only news
-// of it may be lacking.
+// Unproven reports whether no source contradicts the server's health, so that the
+// verdict Trial is only due to a lack of fresh information.
 func (o *Opinion) Unproven(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
-	return !o.out && !now.Before(o.until) && !refuses(now, report) && !o.badNews(now, probe)
+	return !o.ejected && !now.Before(o.blockedUntil) && !refuses(now, report) && !o.suspect(now, probe)
 }
 
-// doubtful tells whether the newest word on the server is a bad one, or there
-// is none that is fresh.
+// doubtful reports whether the newest information on the server is negative, or none
+// of it is fresh.
 func (o *Opinion) doubtful(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
-	if o.badNews(now, probe) {
+	if o.suspect(now, probe) {
 		return true
 	}
 	_, probed := probe.Read(now, MaxAge)
-	_, reported := sane(now, report)
-	return now.Sub(o.answered) > MaxAge && probed != measured.Fresh && !reported
+	_, reported := validReport(now, report)
+	return now.Sub(o.lastAnswer) > MaxAge && probed != measured.Fresh && !reported
 }
 
-// badNews tells whether a connection went silent, or the last probe failed,
-// after the last answer.
-func (o *Opinion) badNews(now time.Time, probe measured.Value[bool]) bool {
-	if o.answered.Before(o.doubted) {
+// suspect reports whether a connection stalled or a probe failed after the last
+// answer.
+func (o *Opinion) suspect(now time.Time, probe measured.Value[bool]) bool {
+	if o.lastAnswer.Before(o.lastStall) {
 		return true
 	}
 	good, state := probe.Read(now, MaxAge)
 	age, _ := probe.Age(now)
-	return state == measured.Fresh && !good && now.Add(-age).After(o.answered)
+	return state == measured.Fresh && !good && now.Add(-age).After(o.lastAnswer)
 }
 
 func refuses(now time.Time, v measured.Value[Report]) bool {
-	r, ok := sane(now, v)
+	r, ok := validReport(now, v)
 	return ok && r.Refuses
 }
 
-// sane returns a fresh report with possible numbers.
-func sane(now time.Time, v measured.Value[Report]) (Report, bool) {
+// validReport returns a fresh report whose numbers are in range, and false if there
+// is none.
+func validReport(now time.Time, v measured.Value[Report]) (Report, bool) {
 	r, state := v.Read(now, MaxAge)
 	ok := state == measured.Fresh && r.Slots > 0 && r.Running >= 0 && r.Running <= 100*r.Slots
 	return r, ok
--- a/internal/health/opinion_test.go
+++ b/internal/health/opinion_test.go
@@ -18,7 +18,7 @@
 	noReport measured.Value[health.Report]
 )
 
-func TestMaySendInputs(t *testing.T) {
+func TestMaySendBySource(t *testing.T) {
 	const stale, future = -time.Minute, time.Minute
 	good := health.Report{Slots: 6, Running: 2}
 	refusing := health.Report{Slots: 6, Running: 2, Refuses: true}
@@ -49,8 +49,8 @@
 		"future report refuses":              {time.Second, noProbe, report(refusing, future), health.Yes},
 		"stale report alone":                 {0, noProbe, report(good, stale), health.Trial},
 		"negative report alone":              {0, noProbe, report(health.Report{Slots: 6, Running: -1}, 0), health.Trial},
-		"absurd report alone":                {0, noProbe, report(health.Report{Slots: 6, Running: 1 << 40}, 0), health.Trial},
-		"absurd report refuses":              {time.Second, noProbe, report(health.Report{Slots: -6, Refuses: true}, 0), health.Yes},
+		"out-of-range report alone":          {0, noProbe, report(health.Report{Slots: 6, Running: 1 << 40}, 0), health.Trial},
+		"out-of-range report refuses":        {time.Second, noProbe, report(health.Report{Slots: -6, Refuses: true}, 0), health.Yes},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -65,22 +65,22 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+func TestMaySendAfterEvents(t *testing.T) {
 	tests := map[string]struct {
 		events []health.Event
 		want   health.Verdict
 	}{
-		"one failure":                 {[]health.Event{health.ConnectFailed}, health.Yes},
-		"two failures":                {[]health.Event{health.ConnectFailed, health.Cut}, health.No},
-		"failures around an answer":   {[]health.Event{health.Cut, health.Answered, health.Cut}, health.Yes},
-		"shed":                        {[]health.Event{health.Shed}, health.No},
-		"shed and then an answer":     {[]health.Event{health.Shed, health.Answered}, health.No}, // of an earlier request
-		"silent":                      {[]health.Event{health.Silent}, health.Trial},
-		"silent, then answered":       {[]health.Event{health.Silent, health.Answered}, health.Yes},
-		"caller gone":                 {[]health.Event{health.Nothing}, health.Yes},
-		"unknown event":               {[]health.Event{health.Event(99)}, health.Yes},
-		"two failures, late answer":   {[]health.Event{health.Cut, health.Cut, health.Answered}, health.No}, // the wait stays
-		"silence ends no older doubt": {[]health.Event{health.Silent, health.Nothing}, health.Trial},
+		"one failure":               {[]health.Event{health.ConnectFailed}, health.Yes},
+		"two failures":              {[]health.Event{health.ConnectFailed, health.Cut}, health.No},
+		"failures around an answer": {[]health.Event{health.Cut, health.Answered, health.Cut}, health.Yes},
+		"shed":                      {[]health.Event{health.Shed}, health.No},
+		"shed and then an answer":   {[]health.Event{health.Shed, health.Answered}, health.No}, // the answer is to an earlier request
+		"stalled":                   {[]health.Event{health.Silent}, health.Trial},
+		"stalled, then answered":    {[]health.Event{health.Silent, health.Answered}, health.Yes},
+		"caller disconnected":       {[]health.Event{health.Nothing}, health.Yes},
+		"unknown event":             {[]health.Event{health.Event(99)}, health.Yes},
+		"two failures, late answer": {[]health.Event{health.Cut, health.Cut, health.Answered}, health.No}, // the backoff stays
+		"stalled, then no result":   {[]health.Event{health.Silent, health.Nothing}, health.Trial},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -98,9 +98,9 @@
 	}
 }
 
-// A server that is out gets one request at a time, further and further apart,
-// whatever its probe says, and everything after the first answer.
-func TestRecoveryByTrial(t *testing.T) {
+// An ejected server gets single trial requests with increasing backoff, regardless of
+// its probe, and normal traffic after the first answer.
+func TestEjectedServerRecoversByTrial(t *testing.T) {
 	is := is.New(t)
 	var o health.Opinion
 	now := start
@@ -115,19 +115,19 @@
 		is.Equal(v, health.Trial)
 		o.BeginTrial(now)
 		v, _ = o.MaySend(now, measured.At(true, now), noReport)
-		is.Equal(v, health.No) // one at a time
+		is.Equal(v, health.No) // a trial is running
 		o.Observe(now, health.Cut)
 	}
 	now = now.Add(time.Minute)
 	o.BeginTrial(now)
 	v, _ := o.MaySend(now.Add(time.Minute), noProbe, noReport)
-	is.Equal(v, health.Trial) // a trial without an outcome ends
+	is.Equal(v, health.Trial) // a trial without a result times out
 	o.Observe(now, health.Answered)
 	v, _ = o.MaySend(now, noProbe, noReport)
 	is.Equal(v, health.Yes)
 }
 
-func TestEventOfKnowsAllCodes(t *testing.T) {
+func TestEventOfMapsResultCodes(t *testing.T) {
 	is := is.New(t)
 	is.Equal(health.EventOf(result.ConnectFailed), health.ConnectFailed)
 	is.Equal(health.EventOf(result.ShedByServer), health.Shed)
@@ -140,8 +140,8 @@
 	}
 }
 
-// No history puts a server out for good.
-func TestAlwaysComesBack(t *testing.T) {
+// No sequence of events ejects a server permanently.
+func TestServerIsNeverEjectedPermanently(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o health.Opinion
 		now := start
@@ -154,7 +154,7 @@
 		}
 		now = now.Add(time.Minute)
 		if v, _ := o.MaySend(now, noProbe, noReport); v == health.No {
-			t.Fatal("out after a minute without events")
+			t.Fatal("still ejected after a minute without events")
 		}
 	})
 }
@@ -170,19 +170,18 @@
 	}
 }
 
-// A server on trial goes out again at its first failure.
-func TestFailedTrialPutsOut(t *testing.T) {
+// A server on trial is ejected by a single failure.
+func TestFailedTrialEjectsServer(t *testing.T) {
 	is := is.New(t)
-	var o health.Opinion // nothing known: trial
+	var o health.Opinion // no information: trial
 	o.BeginTrial(start)
 	o.Observe(start, health.ConnectFailed)
 	v, _ := o.MaySend(start, measured.At(true, start), noReport)
 	is.Equal(v, health.No)
 }
 
-// A trial that showed nothing, as when its caller went away, makes room for
-// another.
-func TestTrialWithoutOutcome(t *testing.T) {
+// A trial without a result, as when its caller disconnected, allows another trial.
+func TestTrialWithoutResultAllowsAnother(t *testing.T) {
 	is := is.New(t)
 	var o health.Opinion
 	o.BeginTrial(start)
