--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,11 +1,10 @@
-// Package owner ranks the backend servers of a service for an object, so that
-// all entries send requests on one object to the same server without asking
-// each other.
+// Package owner ranks the backend servers of a service for an object, so that all
+// entries send requests on one object to the same server without coordination.
 //
-// Ranks come from rendezvous hashing: each pair of object and server has a
-// pseudo-random score, and the server with the highest score is the owner. When
-// a server leaves, only its objects move; when one joins, it takes an even share
-// from all others.
+// The ranking is rendezvous hashing: each pair of object and server has a
+// pseudo-random score, and the server with the highest score is the owner. When a
+// server is removed, only its objects move; when one is added, it takes an equal
+// share of the objects of all others.
 //
 // # Usage
 //
@@ -20,10 +19,10 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Seed returns the number that stands for a server.
+// Seed returns the hash of a server's name.
 func Seed(server id.Server) uint64 { return xxhash.Sum64String(string(server)) }
 
-// Key returns the number that stands for an object of a service.
+// Key returns the hash of an object of a service.
 func Key(svc id.Service, object string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -33,9 +32,10 @@
 	return d.Sum64()
 }
 
-// Score returns the rank of a server for an object; the highest owns it.
+// Score returns the score of a server for an object; the server with the highest
+// score owns it.
 func Score(key, seed uint64) uint64 {
-	// The finalizer of MurmurHash3 spreads the bits of the pair.
+	// The finalizer of MurmurHash3 mixes the bits of the pair.
 	x := key ^ seed
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -44,6 +44,6 @@
 	return x ^ x>>33
 }
 
-// Fraction draws a number for an object, evenly spread from 0 to 1 over objects and
-// the same for equal seeds.
+// Fraction returns a pseudo-random number in [0, 1) for an object. It is uniformly
+// distributed over the objects and the same for equal seeds.
 func Fraction(key, seed uint64) float64 { return float64(Score(key, seed)>>11) / (1 << 53) }
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -34,21 +34,21 @@
 	return out
 }
 
-func TestObjectsSpreadEvenly(t *testing.T) {
+func TestObjectsAreSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	count := map[id.Server]int{}
 	for _, s := range owners(names(30)) {
 		count[s]++
 	}
 	for s, n := range count {
-		if n < 60 || n > 145 { // 100 is even; four standard deviations are 40
+		if n < 60 || n > 145 { // the mean is 100; four standard deviations are 40
 			t.Errorf("server %s owns %d of %d objects", s, n, objects)
 		}
 	}
 	is.Equal(len(count), 30)
 }
 
-func TestOnlyTheObjectsOfALostServerMove(t *testing.T) {
+func TestRemovedServerMovesOnlyItsObjects(t *testing.T) {
 	is := is.New(t)
 	all := names(30)
 	before, after := owners(all), owners(all[1:])
