--- a/internal/coldrate/limiter_test.go
+++ b/internal/coldrate/limiter_test.go
@@ -10,7 +10,7 @@
 	"github.com/shallotpier/shallotpier/internal/coldrate"
 )
 
-func TestNoSpanHoldsMoreThanTheRate(t *testing.T) {
+func TestRateIsKeptInEverySpan(t *testing.T) {
 	const rate, entries = 30.5, 7
 	start := time.Unix(0, 0)
 	for seed := range uint64(50) {
@@ -40,12 +40,12 @@
 		entries, rank int
 		want          int
 	}{
-		"one entry":             {30, 1, 0, 27},
-		"seven entries, first":  {30.5, 7, 5, 4},
-		"seven entries, last":   {30.5, 7, 6, 3},
-		"no entry known":        {10, 0, 0, 9},
-		"small rate, the first": {16.7, 31, 14, 1},
-		"small rate, the rest":  {16.7, 31, 15, 0},
+		"one entry":              {30, 1, 0, 27},
+		"seven entries, first":   {30.5, 7, 5, 4},
+		"seven entries, last":    {30.5, 7, 6, 3},
+		"no entry known":         {10, 0, 0, 9},
+		"small rate, ranked in":  {16.7, 31, 14, 1},
+		"small rate, ranked out": {16.7, 31, 15, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -240,7 +240,7 @@
 	if v == health.No || v == health.Trial && !s.connectFailed.IsZero() || !m.zone.ok() {
 		return false
 	}
-	return !now.Before(s.coldUntil) || s.limiter.Free(now, m.coldLimit())
+	return !now.Before(s.coldUntil) || s.limiter.Available(now, m.coldLimit())
 }
 
 // verdict returns the health verdict, but allows requests to a server of which
