--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,6 @@
-// Package route holds the routes of a configuration and finds the one that a
-// request belongs to.
+// Package route holds the routes of a configuration and matches requests to them.
 //
-// A route is found by host and by the longest prefix that begins the path. A
+// A request belongs to the route of its host with the longest prefix of its path. A
 // [Table] is immutable and safe for concurrent use.
 //
 // # Usage
@@ -28,33 +27,32 @@
 )
 
 type (
-	// Route says where requests go and how they may be treated. It must not be
-	// changed once it is in a Table.
+	// Route determines where requests are sent and how they may be treated. It must
+	// not be changed once it is in a Table.
 	Route struct {
 		// Name is the route's name, for logs and metrics.
 		Name string `json:"name"`
-		// Host is the host that requests name, without a port.
+		// Host is the host of the requests, without a port.
 		Host string `json:"host"`
-		// Prefix begins the path of its requests, and begins and ends with a
+		// Prefix is the prefix of the requests' paths. It begins and ends with a
 		// slash.
 		Prefix string `json:"prefix"`
-		// Kind is what may be sent again: Read, Write or Upload.
+		// Kind determines which requests may be retried: Read, Write or Upload.
 		Kind service.Kind `json:"kind"`
-		// Parts are the services that share the requests.
+		// Parts are the services that the requests are split among.
 		Parts []Part `json:"parts"`
-		// Regions are the only regions where requests may run; empty is any.
+		// Regions are the regions where requests may run; empty allows all.
 		Regions []id.Region `json:"regions,omitempty"`
-		// Attempts is the greatest number of servers that one request is sent
-		// to.
+		// Attempts is the maximum number of servers that one request is sent to.
 		Attempts int `json:"attempts"`
-		// Timeout is the longest time to the final answer; 0 is no bound.
+		// Timeout is the maximum time to the final answer; 0 means no limit.
 		Timeout time.Duration `json:"timeout"`
-		// Objective is the latency within which an answer is worth most.
+		// Objective is the latency objective: answers within it are worth most.
 		Objective time.Duration `json:"objective"`
-		// Priority is the rank of the requests, 0 for the most urgent.
+		// Priority is the priority class of the requests, 0 for the most urgent.
 		Priority int `json:"priority"`
-		// Affinity tells that a server answers faster for an object that it
-		// handled recently.
+		// Affinity is set if a server answers faster for objects that it handled
+		// recently.
 		Affinity bool `json:"affinity"`
 	}
 
@@ -62,11 +60,11 @@
 	Part struct {
 		// Service is the service's name.
 		Service id.Service `json:"service"`
-		// Weight is the service's share, relative to the other parts.
+		// Weight is the service's share, relative to the weights of the other parts.
 		Weight int `json:"weight"`
 	}
 
-	// Table finds routes.
+	// Table matches requests to routes.
 	Table struct {
 		hosts map[string][]*Route
 	}
@@ -95,7 +93,7 @@
 	return json.Marshal(all)
 }
 
-// UnmarshalJSON decodes and checks a list of routes.
+// UnmarshalJSON decodes and validates a list of routes.
 func (t *Table) UnmarshalJSON(data []byte) error {
 	var all []*Route
 	if err := json.Unmarshal(data, &all); err != nil {
@@ -115,19 +113,19 @@
 	case r == nil:
 		return eris.New("route is null")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return eris.Errorf("route %q: prefix %q doesn't begin and end with a slash", r.Name, r.Prefix)
+		return eris.Errorf("route %q: prefix %q must begin and end with a slash", r.Name, r.Prefix)
 	case r.Kind != service.Read && r.Kind != service.Write && r.Kind != service.Upload:
-		return eris.Errorf("route %q: kind %q is not known", r.Name, r.Kind)
+		return eris.Errorf("route %q: unknown kind %q", r.Name, r.Kind)
 	case len(r.Parts) == 0:
 		return eris.Errorf("route %q: no service", r.Name)
 	case r.Timeout < 0 || r.Objective < 0:
-		return eris.Errorf("route %q: timeout %v and objective %v, must not be negative", r.Name, r.Timeout, r.Objective)
+		return eris.Errorf("route %q: timeout %v and objective %v must not be negative", r.Name, r.Timeout, r.Objective)
 	}
 	return nil
 }
 
-// Match returns the route of a request, nil if there is none. The host may
-// carry a port.
+// Match returns the route of a request, nil if there is none. The host may include a
+// port.
 func (t *Table) Match(host, path string) *Route {
 	list, ok := t.hosts[host]
 	if !ok {
@@ -144,8 +142,8 @@
 	return nil
 }
 
-// Pick returns the service that gets a request, by an evenly distributed draw.
-// Parts of weight 0 get none.
+// Pick returns the service for a request. The draw must be uniformly distributed.
+// Parts of weight 0 get no requests.
 func (r *Route) Pick(draw uint64) id.Service {
 	var sum uint64
 	for _, p := range r.Parts {
@@ -165,7 +163,7 @@
 	return ""
 }
 
-// Allows tells whether requests may run in a region.
+// Allows reports whether requests may run in a region.
 func (r *Route) Allows(region id.Region) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestMatch(t *testing.T) {
+func TestMatchByHostAndLongestPrefix(t *testing.T) {
 	table := route.NewTable([]*route.Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestPickKeepsWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	r := route.Route{Parts: []route.Part{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}}
 	got := map[id.Service]int{}
