--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 
-func TestAllowedInputs(t *testing.T) {
+func TestAllowed(t *testing.T) {
 	base := retry.Try{Kind: service.Read, Code: result.AnswerCut, Sends: 1, Attempts: 3, Deadline: start.Add(time.Second)}
 	latency := func(d, age time.Duration) func(*retry.Try) {
 		return func(t *retry.Try) { t.Latency = measured.At(d, start.Add(-age)) }
@@ -25,30 +25,30 @@
 		change func(*retry.Try)
 		want   bool
 	}{
-		"read that was cut":       {func(*retry.Try) {}, true},
-		"write that was cut":      {func(t *retry.Try) { t.Kind = service.Write }, false},
-		"upload that was cut":     {func(t *retry.Try) { t.Kind = service.Upload }, false},
-		"once that was cut":       {func(t *retry.Try) { t.Kind = service.Once }, false},
-		"write not connected":     {func(t *retry.Try) { t.Kind, t.Code = service.Write, result.ConnectFailed }, true},
-		"once shed":               {func(t *retry.Try) { t.Kind, t.Code = service.Once, result.ShedByServer }, true},
-		"unknown kind, cut":       {func(t *retry.Try) { t.Kind = "" }, false},
-		"served":                  {func(t *retry.Try) { t.Code = result.Served }, false},
-		"quarantined":             {func(t *retry.Try) { t.Code = result.Quarantined }, false},
-		"late":                    {func(t *retry.Try) { t.Code = result.AnswerLate }, false},
-		"no such code":            {func(t *retry.Try) { t.Code = -1 }, false},
-		"last attempt":            {func(t *retry.Try) { t.Sends = 3 }, false},
-		"never sent":              {func(t *retry.Try) { t.Sends = 0 }, false},
-		"negative sends":          {func(t *retry.Try) { t.Sends = -1 }, false},
-		"negative attempts":       {func(t *retry.Try) { t.Attempts = -1 }, false},
-		"deadline passed":         {func(t *retry.Try) { t.Deadline = start }, false},
-		"no deadline":             {func(t *retry.Try) { t.Deadline = time.Time{} }, false},
-		"too little time":         {func(t *retry.Try) { t.Deadline = start.Add(90 * time.Millisecond) }, false},
-		"latency fits":            {latency(900*time.Millisecond, 0), true},
-		"latency doesn't fit":     {latency(time.Second, 0), false},
-		"latency stale":           {latency(time.Hour, 2*time.Minute), true},
-		"latency from the future": {latency(time.Hour, -time.Minute), true},
-		"latency negative":        {latency(-time.Hour, 0), true},
-		"latency absurd":          {latency(math.MaxInt64, 0), true},
+		"read that was cut":         {func(*retry.Try) {}, true},
+		"write that was cut":        {func(t *retry.Try) { t.Kind = service.Write }, false},
+		"upload that was cut":       {func(t *retry.Try) { t.Kind = service.Upload }, false},
+		"at-most-once that was cut": {func(t *retry.Try) { t.Kind = service.Once }, false},
+		"write not connected":       {func(t *retry.Try) { t.Kind, t.Code = service.Write, result.ConnectFailed }, true},
+		"at-most-once shed":         {func(t *retry.Try) { t.Kind, t.Code = service.Once, result.ShedByServer }, true},
+		"unknown kind, cut":         {func(t *retry.Try) { t.Kind = "" }, false},
+		"served":                    {func(t *retry.Try) { t.Code = result.Served }, false},
+		"quarantined":               {func(t *retry.Try) { t.Code = result.Quarantined }, false},
+		"late":                      {func(t *retry.Try) { t.Code = result.AnswerLate }, false},
+		"unknown code":              {func(t *retry.Try) { t.Code = -1 }, false},
+		"last attempt":              {func(t *retry.Try) { t.Sends = 3 }, false},
+		"never sent":                {func(t *retry.Try) { t.Sends = 0 }, false},
+		"negative sends":            {func(t *retry.Try) { t.Sends = -1 }, false},
+		"negative attempts":         {func(t *retry.Try) { t.Attempts = -1 }, false},
+		"deadline passed":           {func(t *retry.Try) { t.Deadline = start }, false},
+		"no deadline":               {func(t *retry.Try) { t.Deadline = time.Time{} }, false},
+		"too little time":           {func(t *retry.Try) { t.Deadline = start.Add(90 * time.Millisecond) }, false},
+		"latency fits":              {latency(900*time.Millisecond, 0), true},
+		"latency doesn't fit":       {latency(time.Second, 0), false},
+		"latency stale":             {latency(time.Hour, 2*time.Minute), true},
+		"latency from the future":   {latency(time.Hour, -time.Minute), true},
+		"latency negative":          {latency(-time.Hour, 0), true},
+		"latency out of range":      {latency(math.MaxInt64, 0), true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestBudgetInputs(t *testing.T) {
+func TestTakeByShare(t *testing.T) {
 	tests := map[string]struct {
 		share float64
 		later time.Duration
@@ -74,8 +74,8 @@
 		"over one":          {1.5, 0, 0},
 		"infinite":          {math.Inf(1), 0, 0},
 		"end of the window": {0.1, 9 * time.Second, 10},
-		"after the window":  {0.1, 11 * time.Second, retry.Least},
-		"hardly any":        {0.001, 0, retry.Least},
+		"after the window":  {0.1, 11 * time.Second, retry.MinRetries},
+		"tiny share":        {0.001, 0, retry.MinRetries},
 		"clock steps back":  {0.1, -time.Hour, 10},
 	}
 	for name, tt := range tests {
@@ -96,14 +96,15 @@
 	}
 }
 
-// Over any history, the resends of a window that ends with a resend are at most the share of its first
-// sends, or Least. The model counts whole seconds, as the budget does.
-func TestBudgetHoldsOverAnyHistory(t *testing.T) {
+// The retries of a window that ends with a retry are at most the share of its first
+// sends, or MinRetries, for any sequence of requests. The model counts whole seconds,
+// as the budget does.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b retry.Budget
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		now := start
-		first, again := map[int64]int{}, map[int64]int{}
+		first, retries := map[int64]int{}, map[int64]int{}
 		for range rapid.IntRange(0, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			second := now.Unix()
@@ -115,13 +116,13 @@
 			if !b.Take(now, share) {
 				continue
 			}
-			again[second]++
+			retries[second]++
 			f, a := 0, 0
 			for s := second - 9; s <= second; s++ {
-				f, a = f+first[s], a+again[s]
+				f, a = f+first[s], a+retries[s]
 			}
-			if bound := max(share*float64(f), retry.Least); float64(a) > bound+1e-9 || (share == 0 && a > 0) {
-				t.Fatalf("%d resends of %d first sends in a window at share %v", a, f, share)
+			if bound := max(share*float64(f), retry.MinRetries); float64(a) > bound+1e-9 || (share == 0 && a > 0) {
+				t.Fatalf("%d retries for %d first sends in a window at share %v", a, f, share)
 			}
 		}
 	})
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestBudgetForgetsAfterPause(t *testing.T) {
+func TestBudgetIsEmptyAfterPause(t *testing.T) {
 	is := is.New(t)
 	var b retry.Budget
 	for s := range 10 {
@@ -150,5 +151,5 @@
 	for b.Take(start.Add(30*time.Second), 1) {
 		n++
 	}
-	is.Equal(n, retry.Least)
+	is.Equal(n, retry.MinRetries)
 }
