--- a/internal/measured/value_test.go
+++ b/internal/measured/value_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotpier/shallotpier/internal/measured"
 )
 
-func TestValueRead(t *testing.T) {
+func TestReadReturnsOnlyFreshValues(t *testing.T) {
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	const limit = 5 * time.Second
 	tests := map[string]struct {
@@ -17,13 +17,13 @@
 		want  int
 		state measured.State
 	}{
-		"never taken":       {state: measured.Missing},
+		"never measured":    {state: measured.Missing},
 		"at the limit":      {give: measured.At(7, now.Add(-limit)), want: 7, state: measured.Fresh},
 		"past the limit":    {give: measured.At(7, now.Add(-limit-1)), state: measured.Stale},
-		"within skew":       {give: measured.At(7, now.Add(2*time.Second)), want: 7, state: measured.Fresh},
+		"within clock skew": {give: measured.At(7, now.Add(2*time.Second)), want: 7, state: measured.Fresh},
 		"from the future":   {give: measured.At(7, now.Add(2*time.Second+1)), state: measured.Future},
-		"the far past":      {give: measured.At(7, time.Unix(0, 0)), state: measured.Stale},
-		"taken just before": {give: measured.At(7, now), want: 7, state: measured.Fresh},
+		"from the far past": {give: measured.At(7, time.Unix(0, 0)), state: measured.Stale},
+		"measured just now": {give: measured.At(7, now), want: 7, state: measured.Fresh},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
