--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,10 +1,10 @@
-// Package directory tells callers which entries to connect to.
+// Package directory selects the entries that callers connect to.
 //
-// Callers get entries of their availability zone, or of their region if the zone
-// has none that is ready or too little capacity, or else all. They pick one of the
-// addresses at random, so all that are named get the same load: entries that are
-// much smaller than others are left out, where the larger ones alone can carry more
-// than all with an even share.
+// Callers get the addresses of entries of their availability zone; of their region,
+// if the zone has no ready entry or too little capacity; or of all regions. They pick
+// one of the addresses at random, so all listed entries get the same load. Entries
+// that are much smaller than others are left out if the larger ones alone have more
+// capacity under an equal load.
 //
 // # Usage
 //
@@ -21,15 +21,15 @@
 )
 
 const (
-	// Limit is the greatest number of addresses that are named.
+	// Limit is the maximum number of addresses returned.
 	Limit = 64
-	// fairShare is how much of an even share of its region's capacity a zone
-	// must have to keep its callers.
-	fairShare = 0.5
+	// minZoneShare is the minimum capacity of a zone, as a fraction of the mean over
+	// the zones of its region, for its callers to stay in the zone.
+	minZoneShare = 0.5
 )
 
-// Choose returns the addresses for a caller in a zone and region. It is empty if
-// no entry is ready.
+// Choose returns the entry addresses for a caller in a zone and region, at most
+// Limit. It returns none if no entry is ready.
 func Choose(nodes []beacon.Node, zone id.Zone, region id.Region) []netip.AddrPort {
 	var inZone, inRegion, all []beacon.Node
 	zones := make(map[id.Zone]bool)
@@ -46,22 +46,22 @@
 			inZone = append(inZone, n)
 		}
 	}
-	near, own := carriers(inZone)
-	wide, total := carriers(inRegion)
+	near, own := largest(inZone)
+	wide, total := largest(inRegion)
 	switch {
-	case len(near) > 0 && own >= fairShare*total/float64(max(len(zones), 1)):
+	case len(near) > 0 && own >= minZoneShare*total/float64(max(len(zones), 1)):
 		return addresses(near)
 	case len(wide) > 0:
 		return addresses(wide)
 	default:
-		most, _ := carriers(all)
+		most, _ := largest(all)
 		return addresses(most)
 	}
 }
 
-// carriers returns the entries that carry most together if all get the same load,
-// and how much that is.
-func carriers(nodes []beacon.Node) ([]beacon.Node, float64) {
+// largest returns the set of entries that has the greatest capacity if all of its
+// entries get the same load, and that capacity.
+func largest(nodes []beacon.Node) ([]beacon.Node, float64) {
 	sorted := slices.Clone(nodes)
 	slices.SortStableFunc(sorted, func(a, b beacon.Node) int { return cmp.Compare(capacity(&b), capacity(&a)) })
 	best, count := 0.0, 0
@@ -73,8 +73,8 @@
 	return sorted[:count], best
 }
 
-// capacity is what an entry can carry, as its link's rate. An entry that names
-// none counts as one of 1 Mbit/s.
+// capacity returns the capacity of an entry: the rate of its link. An entry that
+// reports no rate counts as one of 1 Mbit/s.
 func capacity(n *beacon.Node) float64 {
 	if n.LinkMbps > 0 {
 		return n.LinkMbps
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestChoose(t *testing.T) {
+func TestChooseByDistance(t *testing.T) {
 	at := func(s string) netip.AddrPort { return netip.MustParseAddrPort(s) }
 	a1 := beacon.Node{Zone: "a-1", Region: "a", Ready: true, Callers: at("10.0.0.1:80")}
 	a2 := beacon.Node{Zone: "a-2", Region: "a", Ready: true, Callers: at("10.0.0.2:80")}
@@ -21,12 +21,12 @@
 		nodes []beacon.Node
 		want  []netip.AddrPort
 	}{
-		"zone first":      {[]beacon.Node{b1, a2, a1, down}, []netip.AddrPort{a1.Callers}},
-		"region next":     {[]beacon.Node{b1, a2, down}, []netip.AddrPort{a2.Callers}},
-		"any other":       {[]beacon.Node{b1, down}, []netip.AddrPort{b1.Callers}},
-		"none is ready":   {[]beacon.Node{down}, nil},
-		"none is known":   {nil, nil},
-		"all of the zone": {[]beacon.Node{a1, a1}, []netip.AddrPort{a1.Callers, a1.Callers}},
+		"zone preferred":   {[]beacon.Node{b1, a2, a1, down}, []netip.AddrPort{a1.Callers}},
+		"region as second": {[]beacon.Node{b1, a2, down}, []netip.AddrPort{a2.Callers}},
+		"other region":     {[]beacon.Node{b1, down}, []netip.AddrPort{b1.Callers}},
+		"none is ready":    {[]beacon.Node{down}, nil},
+		"none is known":    {nil, nil},
+		"all of the zone":  {[]beacon.Node{a1, a1}, []netip.AddrPort{a1.Callers, a1.Callers}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestChooseByLinks(t *testing.T) {
+func TestChooseByCapacity(t *testing.T) {
 	node := func(zone id.Zone, n byte, link float64) beacon.Node {
 		return beacon.Node{
 			Zone: zone, Region: "a", Ready: true, LinkMbps: link,
@@ -46,12 +46,12 @@
 		nodes []beacon.Node
 		want  []byte
 	}{
-		"equal links":                  {[]beacon.Node{node("a-1", 1, 100), node("a-1", 2, 100)}, []byte{1, 2}},
-		"links that differ a little":   {[]beacon.Node{node("a-1", 1, 70), node("a-1", 2, 100)}, []byte{2, 1}},
-		"small links are left out":     {[]beacon.Node{node("a-1", 1, 11), node("a-1", 2, 200), node("a-1", 3, 200)}, []byte{2, 3}},
-		"many small links carry more":  {[]beacon.Node{node("a-1", 1, 30), node("a-1", 2, 40), node("a-1", 3, 30), node("a-1", 4, 30)}, []byte{2, 1, 3, 4}},
-		"a small zone's callers go on": {[]beacon.Node{node("a-1", 1, 14), node("a-2", 2, 200), node("a-3", 3, 200)}, []byte{2, 3}},
-		"a zone with its share keeps":  {[]beacon.Node{node("a-1", 1, 100), node("a-2", 2, 200), node("a-3", 3, 200)}, []byte{1}},
+		"equal links":               {[]beacon.Node{node("a-1", 1, 100), node("a-1", 2, 100)}, []byte{1, 2}},
+		"similar links":             {[]beacon.Node{node("a-1", 1, 70), node("a-1", 2, 100)}, []byte{2, 1}},
+		"small links are left out":  {[]beacon.Node{node("a-1", 1, 11), node("a-1", 2, 200), node("a-1", 3, 200)}, []byte{2, 3}},
+		"many small links are kept": {[]beacon.Node{node("a-1", 1, 30), node("a-1", 2, 40), node("a-1", 3, 30), node("a-1", 4, 30)}, []byte{2, 1, 3, 4}},
+		"zone with too little":      {[]beacon.Node{node("a-1", 1, 14), node("a-2", 2, 200), node("a-3", 3, 200)}, []byte{2, 3}},
+		"zone with enough":          {[]beacon.Node{node("a-1", 1, 100), node("a-2", 2, 200), node("a-3", 3, 200)}, []byte{1}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
