--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,19 +1,18 @@
-// Package quarantine keeps requests that crash what runs them from more
-// backend servers.
+// Package quarantine stops requests that crash backend servers from being sent to
+// more servers.
 //
-// A request is known by its [Fingerprint]: service, method, path, the caller's
-// key, the length of the body and the digest of the body where there is one.
-// A [List] counts the sends of a fingerprint after which a backend server
-// ended the connection without an answer. After the first such sighting the
-// fingerprint is on probation: the entry that saw it may send it once more,
-// one send at a time, and every other entry refuses it for a while. When a
-// send breaks that was begun after the first sighting, the fingerprint is
-// quarantined by all. A whole answer ends the probation, and either state ends
-// by itself.
+// A request is identified by its [Fingerprint]: service, method, path, the caller's
+// idempotency key, the length of the body and the digest of the body if there is one.
+// A [List] counts the sends of a fingerprint after which a backend server closed the
+// connection without an answer. After the first crash report the fingerprint is on
+// probation: the entry that detected the crash may send it again, one send at a time,
+// and every other entry refuses it for a hold time. If another send, begun after the
+// first crash, crashes its server too, all entries quarantine the fingerprint. A
+// complete answer ends the probation, and both states expire.
 //
-// The entry that sees a crash tells all others before it answers its caller,
-// so that a caller that sends again after an answer meets entries that know.
-// A List decides without I/O; it takes the time with each call.
+// The entry that detects a crash notifies all other entries before it answers its
+// caller, so that a caller that retries after the answer reaches entries that have
+// the report. A List does no I/O; the current time is passed to each call.
 //
 // # Usage
 //
@@ -24,6 +23,6 @@
 //	if v.Probation {
 //		defer l.Done(fp)
 //	}
-//	// a send that broke:
-//	spread(l.Sight(now, fp, origin))
+//	// after a send that crashed the server:
+//	notify(l.Sight(now, fp, origin))
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -12,10 +12,10 @@
 )
 
 type (
-	// Fingerprint tells requests apart without their content.
+	// Fingerprint identifies equal requests without storing their content.
 	Fingerprint [16]byte
 
-	// Traits is what a fingerprint is made of.
+	// Traits are the properties of a request that its fingerprint is computed from.
 	Traits struct {
 		// Service is the service.
 		Service id.Service
@@ -25,15 +25,15 @@
 		Path string
 		// Key is the caller's idempotency key, empty if it has none.
 		Key string
-		// Length is the announced length of the body, -1 if none is.
+		// Length is the declared length of the body, -1 if there is none.
 		Length unit.Bytes
-		// Digest is the digest of the body, empty if it is not known before
-		// the request is sent.
+		// Digest is the digest of the body, empty if it is not known before the
+		// request is sent.
 		Digest string
 	}
 )
 
-// Fingerprint returns the fingerprint of a request with the traits.
+// Fingerprint returns the fingerprint of a request with these traits.
 func (t *Traits) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{string(t.Service), t.Method, t.Path, t.Key, t.Digest} {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -11,74 +11,74 @@
 )
 
 const (
-	// Crashes is how many backend servers a request may cost that is sent
-	// again after it has failed.
-	Crashes = 2
+	// MaxCrashes is the maximum number of backend servers that a request may crash if
+	// the caller retries it after each failure.
+	MaxCrashes = 2
 
 	defaultHold   = 30 * time.Second
 	defaultMemory = 30 * time.Minute
 	defaultListed = 10_000
-	maxSightings  = 16
-	skewLimit     = time.Minute
+	maxReports    = 16
+	maxSkew       = time.Minute
 )
 
 type (
-	// Sighting is the news of one crash, or of its being lifted.
+	// Sighting is a report of one crash, or of the end of a fingerprint's state.
 	Sighting struct {
-		// Fingerprint is that of the request.
+		// Fingerprint is the fingerprint of the request.
 		Fingerprint Fingerprint `json:"fingerprint"`
-		// Send is the id of the send that broke.
+		// Send is the ID of the send that crashed the server.
 		Send string `json:"send,omitempty"`
-		// Instance is the entry that saw it.
+		// Instance is the entry that detected the crash.
 		Instance id.Instance `json:"instance"`
 		// Service is the request's service.
 		Service id.Service `json:"service,omitempty"`
 		// Class is the request's class.
 		Class id.Class `json:"class,omitempty"`
-		// Began is when the send was begun.
+		// Began is the time at which the send was begun.
 		Began time.Time `json:"began,omitzero"`
-		// At is when it was seen.
+		// At is the time at which the crash was detected or the state was lifted.
 		At time.Time `json:"at"`
-		// Lifted ends the state of the fingerprint as of At.
+		// Lifted is set if the report ends the state of the fingerprint as of At.
 		Lifted bool `json:"lifted,omitempty"`
 	}
 
-	// Origin tells of the send that broke.
+	// Origin describes the send that crashed a server.
 	Origin struct {
 		// Service is the request's service.
 		Service id.Service
 		// Class is the request's class.
 		Class id.Class
-		// Send is the id of the send.
+		// Send is the ID of the send.
 		Send string
-		// Began is when it was begun.
+		// Began is the time at which it was begun.
 		Began time.Time
 	}
 
-	// Verdict tells whether a request may be sent.
+	// Verdict is the decision whether a request may be sent.
 	Verdict struct {
-		// Refused tells that it may not.
+		// Refused is set if it may not be sent.
 		Refused bool
-		// RetryAfter is when it may be tried again.
+		// RetryAfter is the time after which a refused request may be retried.
 		RetryAfter time.Duration
-		// Probation tells that it may, and that Done must be called after the
-		// send.
+		// Probation is set if it may be sent and Done must be called after the send.
 		Probation bool
 	}
 
-	// Entry is a fingerprint on the list, for operators.
+	// Entry describes a listed fingerprint to operators.
 	Entry struct {
-		// Fingerprint is that of the requests.
+		// Fingerprint is the fingerprint of the requests.
 		Fingerprint Fingerprint `json:"fingerprint"`
 		// Service is the requests' service.
 		Service id.Service `json:"service"`
 		// Class is the requests' class.
 		Class id.Class `json:"class"`
-		// Sightings counts the crashes.
+		// Sightings is the number of crashes.
 		Sightings int `json:"sightings"`
-		// Quarantined tells that no entry sends it; false is on probation.
+		// Quarantined is set if all entries refuse the requests; otherwise they are
+		// on probation.
 		Quarantined bool `json:"quarantined"`
-		// Until is when the state ends by itself.
+		// Until is the time at which the state expires.
 		Until time.Time `json:"until"`
 	}
 
@@ -87,100 +87,101 @@
 	List struct {
 		// Instance is the entry's name.
 		Instance id.Instance
-		// Hold is how long other entries refuse a fingerprint after its first
-		// crash; 0 is 30 s.
+		// Hold is the time for which the other entries refuse a fingerprint after its
+		// first crash; 0 means 30 s.
 		Hold time.Duration
-		// Memory is how long a crash counts; 0 is 30 min.
+		// Memory is the time for which a crash counts; 0 means 30 min.
 		Memory time.Duration
-		// Tolerated is the number of crashes after which the next one
-		// quarantines a fingerprint; nothing is kept away before. 0 keeps
-		// a fingerprint away, on probation, from its first crash on.
+		// Tolerated is the number of crashes that have no effect; the next one
+		// quarantines the fingerprint, without probation. If it is 0, a fingerprint
+		// is on probation from its first crash on.
 		Tolerated int
-		// Listed is the greatest number of fingerprints; 0 is 10,000. Past it
-		// the one with the oldest news leaves the list.
+		// Listed is the maximum number of fingerprints; 0 means 10,000. At the limit,
+		// the one with the oldest report is evicted.
 		Listed int
 
 		mu     sync.Mutex
-		listed map[Fingerprint]*state
-		// size is the number of listed fingerprints. Requests take no lock
-		// while it is 0.
+		states map[Fingerprint]*state
+		// size is the number of listed fingerprints. Requests take no lock while it
+		// is 0.
 		size atomic.Int64
 	}
 
 	state struct {
-		// sightings counts since the last lift, the earliest known first.
-		sightings []Sighting
-		at        time.Time
-		lifted    time.Time
-		busy      bool
+		// reports are the reports since the last lift, in the order of arrival.
+		reports    []Sighting
+		lastReport time.Time
+		liftedAt   time.Time
+		running    bool
 	}
 )
 
-// Check tells whether a request may be sent now.
+// Check decides whether a request may be sent now.
 func (l *List) Check(now time.Time, fp Fingerprint) Verdict {
 	if l.size.Load() == 0 {
 		return Verdict{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.listed[fp]
+	s := l.states[fp]
 	if s == nil {
 		return Verdict{}
 	}
-	if now.Sub(s.at) >= l.memory() {
+	if now.Sub(s.lastReport) >= l.memory() {
 		l.drop(fp)
 		return Verdict{}
 	}
-	switch held := s.at.Add(l.hold()).Sub(now); {
+	switch held := s.lastReport.Add(l.hold()).Sub(now); {
 	case l.quarantined(s):
-		return Verdict{Refused: true, RetryAfter: s.at.Add(l.memory()).Sub(now)}
-	case len(s.sightings) == 0, l.Tolerated > 0:
+		return Verdict{Refused: true, RetryAfter: s.lastReport.Add(l.memory()).Sub(now)}
+	case len(s.reports) == 0, l.Tolerated > 0:
 		return Verdict{}
-	case s.sightings[0].Instance != l.Instance && held > 0:
+	case s.reports[0].Instance != l.Instance && held > 0:
 		return Verdict{Refused: true, RetryAfter: held}
-	case s.busy:
+	case s.running:
 		return Verdict{Refused: true, RetryAfter: time.Second}
 	}
-	s.busy = true
+	s.running = true
 	return Verdict{Probation: true}
 }
 
-// Quarantined tells whether no entry may send a fingerprint.
+// Quarantined reports whether all entries refuse a fingerprint.
 func (l *List) Quarantined(now time.Time, fp Fingerprint) bool {
 	if l.size.Load() == 0 {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.listed[fp]
-	return s != nil && l.quarantined(s) && now.Sub(s.at) < l.memory()
+	s := l.states[fp]
+	return s != nil && l.quarantined(s) && now.Sub(s.lastReport) < l.memory()
 }
 
-// Done notes the end of a send that Check allowed on probation.
+// Done records the end of a send that Check allowed on probation.
 func (l *List) Done(fp Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := l.listed[fp]; s != nil {
-		s.busy = false
+	if s := l.states[fp]; s != nil {
+		s.running = false
 	}
 }
 
-// Sight notes that a send broke and returns the news for the other entries.
+// Sight records that a send crashed a server and returns the report for the other
+// entries.
 func (l *List) Sight(now time.Time, fp Fingerprint, o Origin) Sighting {
-	news := Sighting{Fingerprint: fp, Send: o.Send, Instance: l.Instance, Service: o.Service, Class: o.Class, Began: o.Began, At: now}
-	l.Learn(now, news)
-	return news
+	report := Sighting{Fingerprint: fp, Send: o.Send, Instance: l.Instance, Service: o.Service, Class: o.Class, Began: o.Began, At: now}
+	l.Learn(now, report)
+	return report
 }
 
-// Clear ends the probation of a fingerprint whose request got a whole answer.
-// It returns the news for the other entries, and false if there is none.
+// Clear ends the probation of a fingerprint whose request got a complete answer. It
+// returns the report for the other entries, and false if there was no probation.
 func (l *List) Clear(now time.Time, fp Fingerprint) (Sighting, bool) {
 	if l.size.Load() == 0 {
 		return Sighting{}, false
 	}
 	l.mu.Lock()
-	s := l.listed[fp]
-	probation := s != nil && len(s.sightings) > 0 && !l.quarantined(s)
+	s := l.states[fp]
+	probation := s != nil && len(s.reports) > 0 && !l.quarantined(s)
 	l.mu.Unlock()
 	if !probation {
 		return Sighting{}, false
@@ -188,57 +189,56 @@
 	return l.Lift(now, fp), true
 }
 
-// Lift ends the state of a fingerprint and returns the news for the other
-// entries.
+// Lift ends the state of a fingerprint and returns the report for the other entries.
 func (l *List) Lift(now time.Time, fp Fingerprint) Sighting {
-	news := Sighting{Fingerprint: fp, Instance: l.Instance, At: now, Lifted: true}
-	l.Learn(now, news)
-	return news
+	report := Sighting{Fingerprint: fp, Instance: l.Instance, At: now, Lifted: true}
+	l.Learn(now, report)
+	return report
 }
 
-// Learn takes news, of this entry or another, in any order and any number of
-// times.
-func (l *List) Learn(now time.Time, news Sighting) {
-	if news.At.After(now.Add(skewLimit)) || now.Sub(news.At) >= l.memory() {
+// Learn applies a report of this entry or another. Reports may arrive in any order
+// and any number of times.
+func (l *List) Learn(now time.Time, report Sighting) {
+	if report.At.After(now.Add(maxSkew)) || now.Sub(report.At) >= l.memory() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.listed[news.Fingerprint]
+	s := l.states[report.Fingerprint]
 	if s == nil {
-		s = l.add(now, news.Fingerprint)
+		s = l.add(now, report.Fingerprint)
 	}
 	switch {
-	case news.Lifted:
-		if news.At.After(s.lifted) {
-			s.lifted, s.at, s.sightings, s.busy = news.At, news.At, nil, false
+	case report.Lifted:
+		if report.At.After(s.liftedAt) {
+			s.liftedAt, s.lastReport, s.reports, s.running = report.At, report.At, nil, false
 		}
-	case !news.At.After(s.lifted), s.knows(news.Send), len(s.sightings) >= maxSightings:
+	case !report.At.After(s.liftedAt), s.has(report.Send), len(s.reports) >= maxReports:
 	default:
-		s.sightings = append(s.sightings, news)
-		if news.At.After(s.at) {
-			s.at = news.At
+		s.reports = append(s.reports, report)
+		if report.At.After(s.lastReport) {
+			s.lastReport = report.At
 		}
 	}
 }
 
-// Watching tells whether there is any news. Without, no fingerprint needs to be
-// checked.
+// Watching reports whether any fingerprint is listed. Otherwise no request needs to
+// be checked.
 func (l *List) Watching() bool { return l.size.Load() > 0 }
 
 func (l *List) quarantined(s *state) bool {
 	if l.Tolerated > 0 {
-		return len(s.sightings) > l.Tolerated
+		return len(s.reports) > l.Tolerated
 	}
 	return s.quarantined()
 }
 
-// quarantined tells whether a send broke that was begun once another had
-// broken. Sends that were under way together count as one: they may have met
-// the same stop of several servers.
+// quarantined reports whether a send crashed a server that was begun after another
+// one had crashed a server. Concurrent sends count as one crash: an outage of several
+// servers may have interrupted all of them.
 func (s *state) quarantined() bool {
-	for i := range s.sightings {
-		if !s.sightings[i].Began.Before(s.earliest()) {
+	for i := range s.reports {
+		if !s.reports[i].Began.Before(s.earliest()) {
 			return true
 		}
 	}
@@ -246,32 +246,32 @@
 }
 
 func (s *state) earliest() time.Time {
-	first := s.sightings[0].At
-	for i := range s.sightings {
-		if at := s.sightings[i].At; at.Before(first) {
+	first := s.reports[0].At
+	for i := range s.reports {
+		if at := s.reports[i].At; at.Before(first) {
 			first = at
 		}
 	}
 	return first
 }
 
-func (s *state) knows(send string) bool {
-	return slices.ContainsFunc(s.sightings, func(n Sighting) bool { return n.Send == send })
+func (s *state) has(send string) bool {
+	return slices.ContainsFunc(s.reports, func(n Sighting) bool { return n.Send == send })
 }
 
-// News returns at most limit pieces of the news that are behind the list, the
-// latest first, for an entry that may not have heard them.
+// News returns at most limit of the reports that make up the list, the latest first,
+// for an entry that may not have received them.
 func (l *List) News(now time.Time, limit int) []Sighting {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []Sighting
-	for fp, s := range l.listed {
-		if now.Sub(s.at) >= l.memory() {
+	for fp, s := range l.states {
+		if now.Sub(s.lastReport) >= l.memory() {
 			continue
 		}
-		all = append(all, s.sightings...)
-		if !s.lifted.IsZero() {
-			all = append(all, Sighting{Fingerprint: fp, Instance: l.Instance, At: s.lifted, Lifted: true})
+		all = append(all, s.reports...)
+		if !s.liftedAt.IsZero() {
+			all = append(all, Sighting{Fingerprint: fp, Instance: l.Instance, At: s.liftedAt, Lifted: true})
 		}
 	}
 	slices.SortFunc(all, func(a, b Sighting) int {
@@ -280,58 +280,58 @@
 	return all[:min(len(all), limit)]
 }
 
-// Entries returns what is on the list, by fingerprint.
+// Entries returns the listed fingerprints in their order.
 func (l *List) Entries(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []Entry
-	for fp, s := range l.listed {
-		until := s.at.Add(l.memory())
-		if len(s.sightings) == 0 || !until.After(now) {
+	for fp, s := range l.states {
+		until := s.lastReport.Add(l.memory())
+		if len(s.reports) == 0 || !until.After(now) {
 			continue
 		}
-		first := &s.sightings[0]
-		all = append(all, Entry{Fingerprint: fp, Service: first.Service, Class: first.Class, Sightings: len(s.sightings), Quarantined: l.quarantined(s), Until: until})
+		first := &s.reports[0]
+		all = append(all, Entry{Fingerprint: fp, Service: first.Service, Class: first.Class, Sightings: len(s.reports), Quarantined: l.quarantined(s), Until: until})
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return all
 }
 
-// add lists a fingerprint.
+// add adds a fingerprint to the list.
 func (l *List) add(now time.Time, fp Fingerprint) *state {
-	if l.listed == nil {
-		l.listed = map[Fingerprint]*state{}
+	if l.states == nil {
+		l.states = map[Fingerprint]*state{}
 	}
 	limit := l.Listed
 	if limit == 0 {
 		limit = defaultListed
 	}
-	if len(l.listed) >= limit {
+	if len(l.states) >= limit {
 		l.evict(now, limit)
 	}
 	s := &state{}
-	l.listed[fp] = s
-	l.size.Store(int64(len(l.listed)))
+	l.states[fp] = s
+	l.size.Store(int64(len(l.states)))
 	return s
 }
 
 func (l *List) drop(fp Fingerprint) {
-	delete(l.listed, fp)
-	l.size.Store(int64(len(l.listed)))
+	delete(l.states, fp)
+	l.size.Store(int64(len(l.states)))
 }
 
 // evict makes room for one fingerprint.
 func (l *List) evict(now time.Time, limit int) {
 	var oldest Fingerprint
-	at := now.Add(skewLimit)
-	for fp, s := range l.listed {
-		if now.Sub(s.at) >= l.memory() {
+	at := now.Add(maxSkew)
+	for fp, s := range l.states {
+		if now.Sub(s.lastReport) >= l.memory() {
 			l.drop(fp)
-		} else if s.at.Before(at) {
-			oldest, at = fp, s.at
+		} else if s.lastReport.Before(at) {
+			oldest, at = fp, s.lastReport
 		}
 	}
-	if len(l.listed) >= limit {
+	if len(l.states) >= limit {
 		l.drop(oldest)
 	}
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -12,7 +12,7 @@
 
 func start() time.Time { return time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC) }
 
-func TestListCheck(t *testing.T) {
+func TestCheckAfterReports(t *testing.T) {
 	fp := quarantine.Fingerprint{1}
 	now := start()
 	own := quarantine.Sighting{Fingerprint: fp, Instance: "entry-1", Send: "a", At: now}
@@ -22,33 +22,33 @@
 	lifted := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Lifted: true, At: now.Add(time.Second)}
 	future := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Send: "c", At: now.Add(time.Hour)}
 	tests := map[string]struct {
-		news  []quarantine.Sighting
-		after time.Duration
-		busy  bool
-		want  quarantine.Verdict
+		reports []quarantine.Sighting
+		after   time.Duration
+		running bool
+		want    quarantine.Verdict
 	}{
-		"unknown":                    {},
-		"own first crash":            {news: []quarantine.Sighting{own}, want: quarantine.Verdict{Probation: true}},
-		"own first crash, one runs":  {news: []quarantine.Sighting{own}, busy: true, want: quarantine.Verdict{Refused: true, RetryAfter: time.Second}},
-		"another's first crash":      {news: []quarantine.Sighting{foreign}, after: 10 * time.Second, want: quarantine.Verdict{Refused: true, RetryAfter: 20 * time.Second}},
-		"another's hold has ended":   {news: []quarantine.Sighting{foreign}, after: 30 * time.Second, want: quarantine.Verdict{Probation: true}},
-		"two crashes":                {news: []quarantine.Sighting{own, second}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
-		"two in one stop":            {news: []quarantine.Sighting{own, together}, after: time.Minute, want: quarantine.Verdict{Probation: true}},
-		"two, the later heard first": {news: []quarantine.Sighting{second, own}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
-		"the same news twice":        {news: []quarantine.Sighting{own, own}, want: quarantine.Verdict{Probation: true}},
-		"ends by itself":             {news: []quarantine.Sighting{own, second}, after: 30*time.Minute + 2},
-		"lifted":                     {news: []quarantine.Sighting{own, second, lifted}, after: 2 * time.Second},
-		"lifted, old news afterward": {news: []quarantine.Sighting{lifted, own, second}, after: 2 * time.Second},
-		"news from the future":       {news: []quarantine.Sighting{own, future}, want: quarantine.Verdict{Probation: true}},
+		"unknown":                              {},
+		"own first crash":                      {reports: []quarantine.Sighting{own}, want: quarantine.Verdict{Probation: true}},
+		"own first crash, one send is running": {reports: []quarantine.Sighting{own}, running: true, want: quarantine.Verdict{Refused: true, RetryAfter: time.Second}},
+		"another's first crash":                {reports: []quarantine.Sighting{foreign}, after: 10 * time.Second, want: quarantine.Verdict{Refused: true, RetryAfter: 20 * time.Second}},
+		"another's hold has expired":           {reports: []quarantine.Sighting{foreign}, after: 30 * time.Second, want: quarantine.Verdict{Probation: true}},
+		"two crashes":                          {reports: []quarantine.Sighting{own, second}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
+		"two by concurrent sends":              {reports: []quarantine.Sighting{own, together}, after: time.Minute, want: quarantine.Verdict{Probation: true}},
+		"two, the later received first":        {reports: []quarantine.Sighting{second, own}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
+		"the same report twice":                {reports: []quarantine.Sighting{own, own}, want: quarantine.Verdict{Probation: true}},
+		"expired":                              {reports: []quarantine.Sighting{own, second}, after: 30*time.Minute + 2},
+		"lifted":                               {reports: []quarantine.Sighting{own, second, lifted}, after: 2 * time.Second},
+		"lifted, older reports afterwards":     {reports: []quarantine.Sighting{lifted, own, second}, after: 2 * time.Second},
+		"report from the future":               {reports: []quarantine.Sighting{own, future}, want: quarantine.Verdict{Probation: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := &quarantine.List{Instance: "entry-1"}
-			for _, n := range tt.news {
+			for _, n := range tt.reports {
 				l.Learn(now, n)
 			}
-			if tt.busy {
+			if tt.running {
 				l.Check(now.Add(tt.after), fp)
 			}
 			is.Equal(l.Check(now.Add(tt.after), fp), tt.want)
@@ -56,39 +56,39 @@
 	}
 }
 
-// TestAtMostTwoCrashes sends one crashing request again and again through any
-// entries, each time after the answer of the last.
+// A crashing request that is retried through any entries, each time after the answer
+// to the last send, crashes at most two servers.
 func TestAtMostTwoCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lists := []*quarantine.List{{Instance: "entry-1"}, {Instance: "entry-2"}, {Instance: "entry-3"}}
 		fp := quarantine.Fingerprint{9}
 		now, crashes, last := start(), 0, time.Time{}
-		for i := range rapid.IntRange(1, 40).Draw(rt, "resends") {
+		for i := range rapid.IntRange(1, 40).Draw(rt, "sends") {
 			now = now.Add(time.Duration(rapid.Int64Range(2, int64(time.Minute)).Draw(rt, "pause")))
 			l := lists[rapid.IntRange(0, 2).Draw(rt, "entry")]
 			v := l.Check(now, fp)
 			if v.Refused {
 				continue
 			}
-			if crashes == quarantine.Crashes && now.Sub(last) >= 30*time.Minute {
-				crashes = 0 // it ended by itself
+			if crashes == quarantine.MaxCrashes && now.Sub(last) >= 30*time.Minute {
+				crashes = 0 // the quarantine expired
 			}
 			crashes, last = crashes+1, now
-			news := l.Sight(now.Add(1), fp, quarantine.Origin{Send: string(rune('a' + i)), Began: now})
+			report := l.Sight(now.Add(1), fp, quarantine.Origin{Send: string(rune('a' + i)), Began: now})
 			for _, other := range lists {
-				other.Learn(now, news)
+				other.Learn(now, report)
 			}
 			if v.Probation {
 				l.Done(fp)
 			}
-			if crashes > quarantine.Crashes {
-				rt.Fatalf("%d servers lost", crashes)
+			if crashes > quarantine.MaxCrashes {
+				rt.Fatalf("%d servers crashed", crashes)
 			}
 		}
 	})
 }
 
-func TestListIsBounded(t *testing.T) {
+func TestListKeepsItsLimit(t *testing.T) {
 	is := is.New(t)
 	l := &quarantine.List{Instance: "entry-1", Listed: 100}
 	for i := range 300 {
@@ -97,7 +97,7 @@
 	is.Equal(len(l.Entries(start().Add(time.Second))), 100)
 }
 
-func TestFingerprintFields(t *testing.T) {
+func TestFingerprintDependsOnAllTraits(t *testing.T) {
 	is := is.New(t)
 	base := quarantine.Traits{Service: "registry", Method: "GET", Path: "/a", Key: "k", Length: 1, Digest: "d"}
 	seen := map[quarantine.Fingerprint]bool{base.Fingerprint(): true}
