--- a/internal/forward/baseline.go
+++ b/internal/forward/baseline.go
@@ -6,7 +6,7 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// baselineKey names the requests whose latencies are compared.
+// baselineKey identifies a group of requests that share a latency baseline.
 type baselineKey struct {
 	service id.Service
 	kind    service.Kind
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -26,32 +26,33 @@
 )
 
 const (
-	// defaultDeadline is for requests that name none on routes that have none.
+	// defaultDeadline applies to requests without a deadline on routes without a
+	// timeout.
 	defaultDeadline = 30 * time.Second
-	// maxDeadline is the longest deadline that is taken from a caller.
+	// maxDeadline is the longest deadline that a caller may set.
 	maxDeadline = time.Hour
-	// keptBody is the longest body that is read before the request is sent, so
-	// that it can be sent again if it did not run.
-	keptBody = 512 << 10
-	// keptAnswer is the longest answer that is read whole before it is passed
-	// on, so that one that breaks off can be asked for again.
-	keptAnswer = 256 << 10
-	// logAttrs is how many attributes the line of a request has at most.
-	logAttrs = 18
-	// maxUnconnected is how many servers that take no connection are passed
-	// over for one request.
-	maxUnconnected = 3
+	// maxBufferedBody is the longest request body that is buffered before the
+	// request is sent, so that it can be retried if it did not run.
+	maxBufferedBody = 512 << 10
+	// maxBufferedAnswer is the longest answer that is buffered before it is
+	// forwarded, so that a request whose answer is truncated can be retried.
+	maxBufferedAnswer = 256 << 10
+	// maxLogAttrs is the greatest number of attributes of a request's log line.
+	maxLogAttrs = 18
+	// maxConnectFailures is how many servers may fail to accept a connection
+	// before a request is refused.
+	maxConnectFailures = 3
 )
 
 type (
-	// call is one request of a caller, from its arrival to its log line.
+	// call is the state of one request from its arrival to its log line.
 	call struct {
 		h        *Handler
 		w        http.ResponseWriter
 		r        *http.Request
 		ctx      context.Context
-		sending  context.Context
-		began    time.Time
+		sendCtx  context.Context
+		start    time.Time
 		deadline time.Time
 		id       string
 
@@ -62,31 +63,32 @@
 		stream  io.Reader
 		length  int64
 
-		// What became of it, for the answer and the log line.
-		code        result.Code
-		status      int
-		server      id.Server
-		sends       int
-		unconnected int
-		tried       []id.Server
-		granted     bool          // another send is within the budget already
-		after       time.Duration // when a refused caller may come back, 0 if it depends on the deadline alone
-		key         uint64
-		choice      dispatch.Choice
-		busy        float64
-		slots       int
+		// The outcome, for the answer and the log line.
+		code         result.Code
+		status       int
+		server       id.Server
+		sends        int
+		unconnected  int
+		tried        []id.Server
+		retryGranted bool          // the retry budget was charged for the next send
+		retryDelay   time.Duration // Retry-After of a quarantined request, 0 to derive it from the deadline
+		key          uint64
+		choice       dispatch.Choice
+		busy         float64
+		slots        int
 	}
 
-	// reply is a server's answer with what was read of its body.
+	// reply is a server's answer with the buffered start of its body.
 	reply struct {
 		*upstream.Answer
-		member *roster.Member
-		head   []byte
-		whole  bool
+		member   *roster.Member
+		buffered []byte
+		complete bool
 	}
 )
 
-// readBody reads a body of up to keptBody bytes. It returns 0 or a result code.
+// readBody buffers up to maxBufferedBody bytes of the body; the rest of a longer
+// body is streamed. It returns 0 or the code of the refusal.
 func (c *call) readBody() result.Code {
 	limit := c.config.MaxBody
 	if limit > 0 && c.r.ContentLength > limit {
@@ -98,9 +100,9 @@
 	if limit > 0 {
 		c.r.Body = http.MaxBytesReader(c.w, c.r.Body, limit)
 	}
-	size := min(max(c.r.ContentLength, 0), keptBody)
+	size := min(max(c.r.ContentLength, 0), maxBufferedBody)
 	buf := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
-	n, err := io.Copy(buf, io.LimitReader(c.r.Body, keptBody+1))
+	n, err := io.Copy(buf, io.LimitReader(c.r.Body, maxBufferedBody+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -109,13 +111,13 @@
 		return result.CallerLeft
 	}
 	c.body, c.length = buf.Bytes(), n
-	if n > keptBody {
+	if n > maxBufferedBody {
 		c.stream, c.length = io.MultiReader(bytes.NewReader(c.body), c.r.Body), c.r.ContentLength
 	}
 	return 0
 }
 
-func (c *call) repeatable() bool { return c.route.Kind == service.Read }
+func (c *call) idempotent() bool { return c.route.Kind == service.Read }
 
 func (c *call) pickService() id.Service {
 	if len(c.route.Parts) == 1 {
@@ -124,9 +126,9 @@
 	return c.route.Pick(rand.Uint64())
 }
 
-// object returns the number that stands for the request's object. Without
-// affinity, requests are spread evenly.
-func (c *call) object() uint64 {
+// objectKey returns the hash key of the request's object. Without session
+// affinity it is derived from the request id, which spreads requests evenly.
+func (c *call) objectKey() uint64 {
 	if c.route.Affinity {
 		if cookie, err := c.r.Cookie(c.h.Headers.Object); err == nil {
 			return owner.Key(c.service, cookie.Value)
@@ -135,14 +137,14 @@
 	return xxhash.Sum64String(c.id)
 }
 
-// carry sends the request until it has a final outcome.
-func (c *call) carry() {
-	c.key = c.object()
+// forward sends the request, with retries, until it has a final outcome.
+func (c *call) forward() {
+	c.key = c.objectKey()
 	req := &dispatch.Request{Service: c.service, Route: c.route, Key: c.key, Draw: rand.Float64()}
-	// failed is what the last send ended with.
+	// failed is the code of the last failed send.
 	var failed result.Code
 	for {
-		if code, gone := c.ended(); gone {
+		if code, done := c.expired(); done {
 			c.refuse(code)
 			return
 		}
@@ -151,7 +153,7 @@
 		m := c.choice.Server
 		if m == nil {
 			if failed == 0 {
-				failed = unchosen(c.choice.Reason)
+				failed = noServerCode(c.choice.Reason)
 			}
 			c.refuse(failed)
 			return
@@ -159,28 +161,29 @@
 		c.busy, c.slots = m.Busy(time.Now()), m.Slots
 		rep, code := c.send(m)
 		if code == 0 {
-			c.pass(rep)
+			c.writeAnswer(rep)
 			return
 		}
 		failed = code
-		if !c.granted && !c.again(code) {
+		if !c.retryGranted && !c.mayRetry(code) {
 			c.refuse(code)
 			return
 		}
-		c.granted = false
+		c.retryGranted = false
 	}
 }
 
-// unchosen returns the code of a request that no server may get.
-func unchosen(reason dispatch.Reason) result.Code {
+// noServerCode returns the result code of a request for which no server was chosen.
+func noServerCode(reason dispatch.Reason) result.Code {
 	if reason == dispatch.Full {
 		return result.NoCapacity
 	}
 	return result.NoServer
 }
 
-// ended tells whether nothing may be sent any more.
-func (c *call) ended() (result.Code, bool) {
+// expired reports whether the deadline has passed or the caller has disconnected,
+// and the code to refuse the request with.
+func (c *call) expired() (result.Code, bool) {
 	switch err := c.ctx.Err(); {
 	case err == nil:
 		return 0, false
@@ -191,37 +194,38 @@
 	}
 }
 
-// again tells whether the request may be sent once more after a send that ended
-// with code.
-func (c *call) again(code result.Code) bool {
+// mayRetry reports whether the request may be retried after a send that failed
+// with code. It charges the retry budget, except for a failed connection, which is
+// bounded by maxConnectFailures.
+func (c *call) mayRetry(code result.Code) bool {
 	if code == result.ConnectFailed {
 		c.unconnected++
-		return c.stream == nil && c.unconnected < maxUnconnected
+		return c.stream == nil && c.unconnected < maxConnectFailures
 	}
-	if c.stream != nil || c.sends >= max(c.route.Attempts, 1) || code.Ran() != result.No && !c.repeatable() {
+	if c.stream != nil || c.sends >= max(c.route.Attempts, 1) || code.Ran() != result.No && !c.idempotent() {
 		return false
 	}
 	if code == result.AnswerLate || code == result.CallerGone {
 		return false
 	}
-	bound := c.h.Resends()
-	if !c.h.budget(c.service).TakeWithin(time.Now(), bound.Share, bound.Allowance) {
+	limits := c.h.RetryLimits()
+	if !c.h.budget(c.service).TakeWithin(time.Now(), limits.Share, limits.Allowance) {
 		c.h.Metrics.GetOrCreateCounter(`shallotpier_resends_denied_total`).Inc()
 		return false
 	}
 	return true
 }
 
-// send sends the request to a server. It returns the reply, or the code that
-// the send ended with.
+// send sends the request to a server. It returns the reply, or the code of the
+// failure.
 func (c *call) send(m *roster.Member) (*reply, result.Code) {
-	began := time.Now()
+	start := time.Now()
 	c.server, c.tried = m.Name, append(c.tried, m.Name)
-	ans, err := c.h.Upstream.Send(c.sending, &upstream.Request{
-		Server: m.Name, Address: m.Address, HTTP: c.outgoing(m), ID: c.id, Repeatable: c.repeatable(),
+	ans, err := c.h.Upstream.Send(c.sendCtx, &upstream.Request{
+		Server: m.Name, Address: m.Address, HTTP: c.outgoing(m), ID: c.id, Repeatable: c.idempotent(),
 	})
 	if err != nil {
-		return nil, c.ending(m, began, failure(err))
+		return nil, c.recordSendError(m, start, asSendError(err))
 	}
 	if c.sends++; c.sends == 1 {
 		c.h.budget(c.service).First(time.Now())
@@ -235,8 +239,9 @@
 	return rep, 0
 }
 
-// ending takes in a send, begun at a time, without an answer.
-func (c *call) ending(m *roster.Member, began time.Time, failed *upstream.SendError) result.Code {
+// recordSendError records a send, started at the given time, that returned no
+// answer. It returns the code of the failure.
+func (c *call) recordSendError(m *roster.Member, start time.Time, failed *upstream.SendError) result.Code {
 	if failed.Sent {
 		if c.sends++; c.sends == 1 {
 			c.h.budget(c.service).First(time.Now())
@@ -244,17 +249,17 @@
 	}
 	o := roster.Outcome{Event: health.EventOf(failed.Code), Failed: true}
 	if failed.Code == result.AnswerLate {
-		o.Latency = time.Since(began)
+		o.Latency = time.Since(start)
 	}
 	m.End(time.Now(), o)
 	if failed.Code == result.AnswerCut {
-		c.suspect(m)
+		c.detectCrash(m)
 	}
 	c.h.Log.Info("send failed", "request", c.id, "server", m.Name, "code", failed.Code, "sent", failed.Sent, "err", failed.Err)
 	return failed.Code
 }
 
-func failure(err error) *upstream.SendError {
+func asSendError(err error) *upstream.SendError {
 	var failed *upstream.SendError
 	if errors.As(err, &failed) {
 		return failed
@@ -262,8 +267,8 @@
 	return &upstream.SendError{Code: result.AnswerCut, Sent: true, Err: err}
 }
 
-// check reads the answer and tells whether it may be passed on: 0, or the code
-// of a send that failed.
+// check buffers the answer and decides whether it may be forwarded. It returns 0,
+// or the code of the failure.
 func (c *call) check(rep *reply) result.Code {
 	signed := rep.Header.Get(c.h.Headers.Signature) != ""
 	notRun := rep.Header.Get(c.h.Headers.NotRun) != ""
@@ -275,28 +280,30 @@
 		return result.ShedByServer
 	case status < http.StatusMultipleChoices && (!signed || rep.Header.Get("Content-Encoding") != ""):
 		return result.AnswerCut
-	case promised(status):
-		// The server doesn't say that the request did not run.
+	case impliesNotRun(status):
+		// The status suggests that the request did not run, but the server has not
+		// confirmed it by the not-run header.
 		return result.AnswerCut
-	case status >= http.StatusInternalServerError && c.repeatable() && c.sends < c.route.Attempts:
-		// The server's error is passed on unless another server may be asked.
-		if c.granted = c.again(result.AnswerCut); c.granted {
+	case status >= http.StatusInternalServerError && c.idempotent() && c.sends < c.route.Attempts:
+		// The server's error is forwarded unless the request may be retried.
+		if c.retryGranted = c.mayRetry(result.AnswerCut); c.retryGranted {
 			return result.AnswerCut
 		}
 	}
-	if rep.Length > keptAnswer {
+	if rep.Length > maxBufferedAnswer {
 		return 0
 	}
-	head, err := io.ReadAll(io.LimitReader(rep.Body, keptAnswer+1))
+	buffered, err := io.ReadAll(io.LimitReader(rep.Body, maxBufferedAnswer+1))
 	if err != nil {
-		return failure(err).Code
+		return asSendError(err).Code
 	}
-	rep.head, rep.whole = head, len(head) <= keptAnswer
+	rep.buffered, rep.complete = buffered, len(buffered) <= maxBufferedAnswer
 	return 0
 }
 
-// promised tells whether a status says that a request did not run.
-func promised(status int) bool {
+// impliesNotRun reports whether callers would conclude from a status that the
+// request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -305,16 +312,16 @@
 	}
 }
 
-// outgoing returns the request as it is sent to a server.
+// outgoing returns the request to send to a server.
 func (c *call) outgoing(m *roster.Member) *http.Request {
 	out := &http.Request{
 		Method: c.r.Method, URL: target(c.r), Host: c.r.Host, Header: make(http.Header, len(c.r.Header)+2),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
-	passOn(out.Header, c.r.Header)
+	copyEndToEnd(out.Header, c.r.Header)
 	out.Header.Del("Expect")
 	if _, ok := out.Header["User-Agent"]; !ok {
-		out.Header.Set("User-Agent", "") // none is added
+		out.Header.Set("User-Agent", "") // keeps net/http from adding its default
 	}
 	left := max(time.Until(c.deadline).Milliseconds(), 1)
 	out.Header.Set(c.h.Headers.Deadline, strconv.FormatInt(left, 10))
@@ -330,50 +337,50 @@
 	return out
 }
 
-// pass writes the server's answer to the caller.
-func (c *call) pass(rep *reply) {
+// writeAnswer forwards the server's answer to the caller.
+func (c *call) writeAnswer(rep *reply) {
 	defer rep.Close()
 	c.code, c.status = result.Served, rep.Status
 	if c.h.Quarantine.Watching() {
 		c.h.Quarantine.Clear(time.Now(), c.fingerprint())
 	}
-	c.passHeader(rep)
-	if _, err := c.w.Write(rep.head); err != nil {
+	c.writeHeader(rep)
+	if _, err := c.w.Write(rep.buffered); err != nil {
 		c.code = result.CallerGone
 	}
-	cut := false
-	if !rep.whole {
+	truncated := false
+	if !rep.complete {
 		if _, err := io.Copy(c.w, rep.Body); err != nil {
-			c.code, cut = cutCode(err), true
+			c.code, truncated = copyErrorCode(err), true
 		}
 	}
 	rep.member.End(time.Now(), c.outcome(rep, c.code))
-	if cut {
-		// The caller's connection ends, so that the answer doesn't look complete.
+	if truncated {
+		// The caller's connection is aborted, so that the answer doesn't look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// passHeader writes the header of the server's answer.
-func (c *call) passHeader(rep *reply) {
+// writeHeader forwards the status and header of the server's answer.
+func (c *call) writeHeader(rep *reply) {
 	header := c.w.Header()
-	passOn(header, rep.Header)
+	copyEndToEnd(header, rep.Header)
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // none is guessed
+		header["Content-Type"] = nil // disables content sniffing by net/http
 	}
-	if rep.whole && rep.Status != http.StatusNoContent && rep.Status != http.StatusNotModified {
+	if rep.complete && rep.Status != http.StatusNoContent && rep.Status != http.StatusNotModified {
 		if c.r.Method != http.MethodHead {
-			header.Set("Content-Length", strconv.Itoa(len(rep.head)))
+			header.Set("Content-Length", strconv.Itoa(len(rep.buffered)))
 		}
-	} else if !rep.whole && rep.Length >= 0 {
+	} else if !rep.complete && rep.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(rep.Length, 10))
 	}
 	c.w.WriteHeader(rep.Status)
 }
 
-// cutCode returns the code of an answer that broke off on its way to the caller:
-// the server's end of it, or the caller's.
-func cutCode(err error) result.Code {
+// copyErrorCode returns the code of an answer that was truncated while it was
+// copied to the caller: that of the server's failure, or CallerGone.
+func copyErrorCode(err error) result.Code {
 	var failed *upstream.SendError
 	if errors.As(err, &failed) {
 		return failed.Code
@@ -381,7 +388,7 @@
 	return result.CallerGone
 }
 
-// outcome tells what an answer says of its server.
+// outcome returns what an answer contributes to the health state of its server.
 func (c *call) outcome(rep *reply, code result.Code) roster.Outcome {
 	o := roster.Outcome{Event: health.EventOf(code), Load: c.h.Load(rep.Header)}
 	if code == result.Served {
@@ -389,16 +396,17 @@
 	}
 	switch code {
 	case result.ShedByServer:
-		// The server is well; how often it refuses is judged by comparison.
+		// Shedding is not a health failure; outlier detection compares the rate of
+		// refusals between servers.
 		o.Event, o.Failed = health.Answered, true
 		if rep.Status == http.StatusMisdirectedRequest {
-			// The server that the entry knows is not there.
+			// A different server has this address.
 			o.Event, o.Reached = health.ConnectFailed, true
 		}
 	case result.AnswerCut:
 		if rep.Status >= http.StatusInternalServerError {
-			// An error is an answer; how often there is one is judged by
-			// comparison.
+			// An error response is not a health failure; outlier detection compares
+			// the error rate between servers.
 			o.Event, o.Failed = health.Answered, true
 		}
 	case result.Served:
@@ -408,14 +416,15 @@
 	return o
 }
 
-// refuse ends the request with an answer of the entry's own.
+// refuse answers the request on behalf of the entry itself, with the status and
+// headers for code.
 func (c *call) refuse(code result.Code) {
-	c.code, c.status = code, c.refusal(code)
+	c.code, c.status = code, c.refusalStatus(code)
 	header := c.w.Header()
 	header.Set(result.HeaderCode, code.String())
 	header.Set("Content-Length", "0")
 	if c.status == http.StatusServiceUnavailable {
-		wait := c.after
+		wait := c.retryDelay
 		if wait == 0 {
 			wait = c.retryAfter()
 		}
@@ -424,9 +433,9 @@
 	c.w.WriteHeader(c.status)
 }
 
-// refusal returns the status of an answer of the entry's own. A request that
-// may have run is never told otherwise.
-func (c *call) refusal(code result.Code) int {
+// refusalStatus returns the HTTP status for an answer of the entry itself. 503 is
+// returned only for requests that did not run.
+func (c *call) refusalStatus(code result.Code) int {
 	switch code {
 	case result.NoService:
 		return http.StatusNotFound
@@ -443,8 +452,8 @@
 	return http.StatusBadGateway
 }
 
-// retryAfter spreads the return of refused callers over the time in which they
-// can still be served.
+// retryAfter returns a Retry-After time with jitter, between 1/8 and 1/4 of the
+// time left, so that refused callers return spread out and before their deadline.
 func (c *call) retryAfter() time.Duration {
 	if c.deadline.IsZero() {
 		return time.Second
@@ -453,14 +462,14 @@
 	return left/8 + time.Duration(rand.Float64()*float64(left/8))
 }
 
-// finish writes the request's log line and counts it, once.
+// finish writes the request's log line and updates the metrics, once.
 func (c *call) finish() {
 	if c.code == 0 {
 		return
 	}
-	took := time.Since(c.began)
+	took := time.Since(c.start)
 	c.h.observe(c, took)
-	attrs := make([]slog.Attr, 0, logAttrs)
+	attrs := make([]slog.Attr, 0, maxLogAttrs)
 	attrs = append(attrs, slog.String("request", c.id), slog.Int("code", int(c.code)), slog.Int("status", c.status))
 	if c.config != nil {
 		attrs = append(attrs, slog.Uint64("version", uint64(c.config.Version)))
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -12,18 +12,18 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// crashWait is how soon after a broken answer a server is asked for a new
-// connection: one that crashed refuses it.
-const crashWait = 30 * time.Millisecond
+// crashCheckDelay is the time between a truncated answer and the connection check
+// of its server: a server that has crashed refuses the connection.
+const crashCheckDelay = 30 * time.Millisecond
 
-// suspect finds out whether a server that broke off an answer has crashed, and
-// notes that the request may be the cause.
-func (c *call) suspect(m *roster.Member) {
-	began := time.Now()
-	origin := quarantine.Origin{Service: c.service, Send: c.id + " " + string(m.Name), Began: began}
+// detectCrash checks in the background whether a server that truncated an answer
+// has crashed, and if so records the request as a possible cause.
+func (c *call) detectCrash(m *roster.Member) {
+	start := time.Now()
+	origin := quarantine.Origin{Service: c.service, Send: c.id + " " + string(m.Name), Began: start}
 	fingerprint := c.fingerprint()
 	go func() {
-		time.Sleep(crashWait)
+		time.Sleep(crashCheckDelay)
 		if c.h.Upstream.Alive(context.Background(), m.Address) {
 			return
 		}
@@ -32,8 +32,8 @@
 	}()
 }
 
-// fingerprint tells the request from others: the same caller sends the same body
-// to the same path.
+// fingerprint identifies requests that are equal in service, method, host, path,
+// caller, object and body.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	caller, _, err := net.SplitHostPort(c.r.RemoteAddr)
 	if err != nil {
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -1,15 +1,15 @@
-// Package forward carries callers' requests to backend servers by the routes of
-// the configuration in force.
+// Package forward proxies callers' requests to backend servers by the routes of
+// the active configuration.
 //
 // Each request goes through the same steps: its route is matched, its body is
-// read up to a bound, a server is chosen, the request is sent, and its answer is
-// checked and passed on. A request is sent again only if it provably did not run,
-// or if its route allows it to run twice, and within the route's attempts and the
-// service's budget of resends.
+// buffered up to a limit, a server is chosen, the request is sent, and its answer
+// is checked and forwarded. A request is retried only if it provably did not run,
+// or if its route is idempotent, and within the route's attempts and the service's
+// retry budget.
 //
-// A refusal with status 503 says that the request did not run and never will,
-// and when to come back. Once a request that must not run twice may have begun,
-// it ends with the server's answer, 502 or 504.
+// Status 503 means that the request did not run and never will; Retry-After gives
+// the time after which the caller may retry. Once a non-idempotent request may have
+// started to run, it ends with the server's answer, 502 or 504.
 //
 // # Usage
 //
@@ -42,66 +42,71 @@
 )
 
 type (
-	// Config is a configuration in force. It must not be changed.
+	// Config is a configuration of the entry. It must not be modified.
 	Config struct {
-		// Version is its version.
+		// Version is the version of the configuration.
 		Version id.Version `json:"version"`
-		// Routes finds routes.
+		// Routes matches requests to routes.
 		Routes *route.Table `json:"routes"`
-		// MaxBody is the longest body of a request in bytes; 0 is no bound.
+		// MaxBody is the longest body of a request in bytes; 0 means no limit.
 		MaxBody int64 `json:"maxBody"`
 	}
 
-	// Headers names the headers that callers, entries and servers exchange.
+	// Headers holds the names of the headers that callers, entries and servers
+	// exchange.
 	Headers struct {
 		// RequestID holds the id of one attempt of a caller.
 		RequestID string
-		// Deadline holds the milliseconds that the request may still take.
+		// Deadline holds the time left for the request in milliseconds.
 		Deadline string
-		// Object is the cookie that names the object of a request.
+		// Object is the cookie that identifies the object of a request.
 		Object string
-		// Expect names the server that a request is meant for.
+		// Expect holds the name of the server that the request is sent to, so that
+		// another server at the same address refuses it.
 		Expect string
 		// NotRun marks an answer to a request that the server did not run.
 		NotRun string
-		// Signature marks the answers that servers made.
+		// Signature marks the answers that backend servers produced themselves.
 		Signature string
 	}
 
-	// Resends bounds what is sent again to a service, as this entry's part of
-	// what all entries may.
+	// Resends limits the retries to a service, as this entry's share of the limit
+	// for all entries.
 	Resends struct {
-		// Share is the part of a service's requests that may be sent again.
+		// Share is the fraction of a service's requests that may be retried.
 		Share float64
-		// Allowance is how many more may be, in retry.Window.
+		// Allowance is the number of retries allowed in addition per
+		// retry.Window.
 		Allowance float64
 	}
 
-	// Handler answers callers. Its fields must not change after the first
-	// request.
+	// Handler is the HTTP handler for callers' requests. Its fields must not change
+	// after the first request.
 	Handler struct {
-		// Config returns the configuration in force, nil if there is none yet.
+		// Config returns the active configuration, nil if there is none yet.
 		Config func() *Config
-		// Dispatcher chooses servers.
+		// Dispatcher chooses a server for each send.
 		Dispatcher *dispatch.Dispatcher
-		// Upstream sends.
+		// Upstream sends requests to servers.
 		Upstream *upstream.Client
-		// Quarantine keeps requests away that crash servers.
+		// Quarantine blocks requests that crash servers.
 		Quarantine *quarantine.List
-		// Resends returns the bound on what is sent again.
-		Resends func() Resends
-		// Leaving tells whether callers are asked to close their connections.
+		// RetryLimits returns the current limits on retries.
+		RetryLimits func() Resends
+		// Leaving reports whether the entry is shutting down, so that callers are
+		// asked to close their connections.
 		Leaving func() bool
-		// Headers names the headers.
+		// Headers holds the header names.
 		Headers Headers
-		// Load returns what a server's answer says of its load, nil if nothing.
+		// Load extracts the server's load report from the header of an answer; it
+		// returns nil if there is none.
 		Load func(http.Header) *roster.Load
-		// StoreAge returns how long ago the platform's store said which servers
-		// there are.
+		// StoreAge returns the staleness of the list of servers: the time since the
+		// platform's store last confirmed it.
 		StoreAge func() time.Duration
-		// Log gets one line for each request.
+		// Log receives one line per request.
 		Log *slog.Logger
-		// Metrics gets counters and histograms.
+		// Metrics receives counters and histograms.
 		Metrics *metrics.Set
 
 		budgets   sync.Map // id.Service to *retry.Budget
@@ -114,7 +119,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.running.Add(1)
 	defer h.running.Add(-1)
-	c := &call{h: h, w: w, r: r, began: time.Now(), id: r.Header.Get(h.Headers.RequestID)}
+	c := &call{h: h, w: w, r: r, start: time.Now(), id: r.Header.Get(h.Headers.RequestID)}
 	defer c.finish()
 	if h.Leaving() {
 		w.Header().Set("Connection", "close")
@@ -132,13 +137,14 @@
 		c.refuse(result.BadRequest)
 		return
 	}
-	c.deadline = c.began.Add(left)
+	c.deadline = c.start.Add(left)
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	c.ctx, c.sending = ctx, ctx
-	if !c.repeatable() {
-		// What may have begun to run is not broken off when the caller leaves.
-		c.sending, cancel = context.WithDeadline(context.WithoutCancel(ctx), c.deadline)
+	c.ctx, c.sendCtx = ctx, ctx
+	if !c.idempotent() {
+		// A request that may have started to run is not cancelled when the caller
+		// disconnects.
+		c.sendCtx, cancel = context.WithDeadline(context.WithoutCancel(ctx), c.deadline)
 		defer cancel()
 	}
 	if code := c.readBody(); code != 0 {
@@ -147,16 +153,16 @@
 	}
 	c.service = c.pickService()
 	if h.Quarantine.Watching() {
-		if v := h.Quarantine.Check(c.began, c.fingerprint()); v.Refused {
-			c.after = v.RetryAfter
+		if v := h.Quarantine.Check(c.start, c.fingerprint()); v.Refused {
+			c.retryDelay = v.RetryAfter
 			c.refuse(result.Quarantined)
 			return
 		}
 	}
-	c.carry()
+	c.forward()
 }
 
-// Running returns how many requests are under way.
+// Running returns the number of requests in progress.
 func (h *Handler) Running() int { return int(h.running.Load()) }
 
 func (h *Handler) budget(svc id.Service) *retry.Budget {
@@ -170,8 +176,8 @@
 	return &retry.Budget{}
 }
 
-// timeLeft returns how long the request may take: the caller's deadline or the
-// route's timeout, whichever is sooner.
+// timeLeft returns the time limit of the request: the caller's deadline or the
+// route's timeout, whichever is shorter. It returns false if the deadline is invalid.
 func (c *call) timeLeft() (time.Duration, bool) {
 	left := c.route.Timeout
 	value := c.r.Header.Get(c.h.Headers.Deadline)
@@ -185,9 +191,9 @@
 	if err != nil || !(ms >= 0) || ms > float64(maxDeadline/time.Millisecond) {
 		return 0, false
 	}
-	asked := time.Duration(ms * float64(time.Millisecond))
-	if left == 0 || asked < left {
-		left = asked
+	requested := time.Duration(ms * float64(time.Millisecond))
+	if left == 0 || requested < left {
+		left = requested
 	}
 	return left, true
 }
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -32,15 +32,15 @@
 const svc = id.Service("registry")
 
 type (
-	// backend answers with what its script says, one line for each request
-	// over all servers, and the last one again.
+	// backend simulates all servers. Each request, to whichever server, takes the
+	// next line of the script; the last line is repeated.
 	backend struct {
 		script   []string
 		requests atomic.Int64
 		last     atomic.Pointer[http.Request]
 		body     atomic.Pointer[string]
-		left     chan struct{}
-		// listeners are those of the servers; one that crashes closes its own.
+		closed   chan struct{} // receives one value per closed connection of "silent"
+		// listeners belong to the servers; a server that crashes closes its own.
 		listeners []net.Listener
 	}
 
@@ -52,7 +52,8 @@
 	}
 )
 
-// answer plays a line of the script.
+// answer writes the answer for a line of the script. It reports whether the
+// connection stays open.
 func (b *backend) answer(c net.Conn, r *http.Request, line string) bool {
 	reqID := r.Header.Get("X-Id")
 	header := "X-Id: " + reqID + "\r\n"
@@ -93,7 +94,7 @@
 		return false
 	case "silent":
 		_, _ = bufio.NewReader(c).ReadByte()
-		b.left <- struct{}{}
+		b.closed <- struct{}{}
 		return false
 	}
 	return true
@@ -120,7 +121,7 @@
 
 func start(t *testing.T, kind service.Kind, script ...string) *fixture {
 	t.Helper()
-	b := &backend{script: script, left: make(chan struct{}, 10)}
+	b := &backend{script: script, closed: make(chan struct{}, 10)}
 	r := &roster.Roster{Log: slog.New(slog.DiscardHandler)}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,10 +149,10 @@
 	f := &fixture{backend: b, roster: r}
 	f.handler = &forward.Handler{
 		Config: func() *forward.Config { return config }, Dispatcher: &dispatch.Dispatcher{Roster: r},
-		Upstream:   &upstream.Client{Connect: time.Second, Idle: time.Second, IdleOnce: time.Second, RequestID: "X-Id"},
-		Quarantine: &quarantine.List{Instance: "e-1", Tolerated: 2},
-		Resends:    func() forward.Resends { return forward.Resends{Allowance: 10} },
-		Leaving:    func() bool { return false },
+		Upstream:    &upstream.Client{Connect: time.Second, Idle: time.Second, IdleOnce: time.Second, RequestID: "X-Id"},
+		Quarantine:  &quarantine.List{Instance: "e-1", Tolerated: 2},
+		RetryLimits: func() forward.Resends { return forward.Resends{Allowance: 10} },
+		Leaving:     func() bool { return false },
 		Headers: forward.Headers{
 			RequestID: "X-Id", Deadline: "X-Left", Object: "Object", Expect: "X-Expect", NotRun: "X-Not-Run", Signature: "X-Signed",
 		},
@@ -164,8 +165,8 @@
 	return f
 }
 
-// ask sends a request to the entry and returns the status, the header and the
-// body of the answer; the status is 0 if there was no whole answer.
+// ask sends a request to the entry and returns status, header and body of the
+// answer. The status is 0 if no complete answer was received.
 func (f *fixture) ask(ctx context.Context, path, body string) (int, http.Header, string) {
 	method := http.MethodGet
 	if body != "" {
@@ -190,7 +191,7 @@
 	return resp.StatusCode, resp.Header, string(data)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestAnswersAndRetries(t *testing.T) {
 	read, write, upload := service.Read, service.Write, service.Upload
 	tests := map[string]struct {
 		kind   service.Kind
@@ -199,28 +200,28 @@
 		sends  int64
 		body   string
 	}{
-		"served":                                    {read, []string{"ok"}, 200, 1, "one"},
-		"chunked":                                   {write, []string{"chunked"}, 200, 1, "one"},
-		"end of the connection ends the answer":     {write, []string{"until closed"}, 200, 1, "one"},
-		"long answer":                               {read, []string{"long"}, 200, 1, strings.Repeat("x", 1000000)},
-		"long answer that breaks off":               {read, []string{"long, cut"}, 0, 1, ""},
-		"read is sent again after a cut":            {read, []string{"cut", "ok"}, 200, 2, "one"},
-		"read is cut twice":                         {read, []string{"cut"}, 502, 2, ""},
-		"write is never sent again after a cut":     {write, []string{"cut", "ok"}, 502, 1, ""},
-		"upload is never sent again after a cut":    {upload, []string{"cut", "ok"}, 502, 1, ""},
-		"write that was refused goes elsewhere":     {write, []string{"shed", "ok"}, 200, 2, "one"},
-		"write that all refused":                    {write, []string{"shed"}, 503, 2, ""},
-		"read is sent again after an error":         {read, []string{"error", "ok"}, 200, 2, "one"},
-		"read that meets only errors":               {read, []string{"error"}, 500, 2, "bad"},
-		"write's error is passed on":                {write, []string{"error", "ok"}, 500, 1, "bad"},
-		"503 that doesn't say not run is no 503":    {write, []string{"busy"}, 502, 1, ""},
-		"success without a signature is none":       {write, []string{"unsigned"}, 502, 1, ""},
-		"success in another encoding is none":       {write, []string{"encoded"}, 502, 1, ""},
-		"another server at the address is skipped":  {write, []string{"other", "ok"}, 200, 2, "one"},
-		"read without an answer ends at the time":   {read, []string{"silent"}, 504, 1, ""},
-		"write without an answer ends at the time":  {write, []string{"silent"}, 504, 1, ""},
-		"unsigned answer to a read is asked again":  {read, []string{"unsigned", "ok"}, 200, 2, "one"},
-		"upload that was refused is sent elsewhere": {upload, []string{"shed", "ok"}, 200, 2, "one"},
+		"served":                              {read, []string{"ok"}, 200, 1, "one"},
+		"chunked":                             {write, []string{"chunked"}, 200, 1, "one"},
+		"answer without a length ends at EOF": {write, []string{"until closed"}, 200, 1, "one"},
+		"long answer":                         {read, []string{"long"}, 200, 1, strings.Repeat("x", 1000000)},
+		"truncated long answer":               {read, []string{"long, cut"}, 0, 1, ""},
+		"read is retried after a truncated answer": {read, []string{"cut", "ok"}, 200, 2, "one"},
+		"both answers to a read are truncated":     {read, []string{"cut"}, 502, 2, ""},
+		"write is not retried after truncation":    {write, []string{"cut", "ok"}, 502, 1, ""},
+		"upload is not retried after truncation":   {upload, []string{"cut", "ok"}, 502, 1, ""},
+		"shed write is retried on another server":  {write, []string{"shed", "ok"}, 200, 2, "one"},
+		"write that all servers shed":              {write, []string{"shed"}, 503, 2, ""},
+		"read is retried after an error":           {read, []string{"error", "ok"}, 200, 2, "one"},
+		"read that gets only errors":               {read, []string{"error"}, 500, 2, "bad"},
+		"error of a write is forwarded":            {write, []string{"error", "ok"}, 500, 1, "bad"},
+		"503 without not-run header becomes 502":   {write, []string{"busy"}, 502, 1, ""},
+		"unsigned success becomes 502":             {write, []string{"unsigned"}, 502, 1, ""},
+		"encoded success becomes 502":              {write, []string{"encoded"}, 502, 1, ""},
+		"retried after another server's answer":    {write, []string{"other", "ok"}, 200, 2, "one"},
+		"unanswered read ends at the deadline":     {read, []string{"silent"}, 504, 1, ""},
+		"unanswered write ends at the deadline":    {write, []string{"silent"}, 504, 1, ""},
+		"read is retried after an unsigned answer": {read, []string{"unsigned", "ok"}, 200, 2, "one"},
+		"shed upload is retried on another server": {upload, []string{"shed", "ok"}, 200, 2, "one"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -247,10 +248,10 @@
 	}
 }
 
-func TestRequestsArePassedOnUnchanged(t *testing.T) {
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	is := is.New(t)
 	f := start(t, service.Upload, "ok")
-	long := strings.Repeat("0123456789", 100_000) // more than is kept for another send
+	long := strings.Repeat("0123456789", 100_000) // more than is buffered for a retry
 	for _, body := range []string{"short", long} {
 		status, _, _ := f.ask(t.Context(), "/x/a%2Fb//c?q=%20&", body)
 		is.Equal(status, 200)
@@ -262,7 +263,7 @@
 		is.True(strings.HasPrefix(got.Header.Get("X-Expect"), "i-"))
 		left, err := strconv.Atoi(got.Header.Get("X-Left"))
 		is.NoErr(err)
-		is.True(left > 0 && left <= 400) // the route's time, sooner than the caller's
+		is.True(left > 0 && left <= 400) // the route's timeout, shorter than the caller's deadline
 		is.True(*f.backend.body.Load() == body)
 	}
 }
@@ -278,7 +279,7 @@
 		"no route":             {func(*fixture) {}, "/y/8", "", 404},
 		"no server":            {func(f *fixture) { f.roster.Replace(time.Now(), nil) }, "/x/8", "", 503},
 		"body too large":       {func(*fixture) {}, "/x/8", strings.Repeat("x", 5<<20), 413},
-		"no server takes a connection": {func(f *fixture) {
+		"no server accepts a connection": {func(f *fixture) {
 			f.roster.Replace(time.Now(), []roster.Server{{Name: "i-9", Service: svc, Address: "127.0.0.1:1", Slots: 6}})
 		}, "/x/8", "body", 503},
 	}
@@ -294,14 +295,14 @@
 	}
 }
 
-func TestACallerThatLeaves(t *testing.T) {
+func TestCallerDisconnect(t *testing.T) {
 	tests := map[string]struct {
 		kind   service.Kind
 		body   string
 		within bool
 	}{
-		"ends a read at the server":         {service.Read, "", true},
-		"doesn't end a write at its server": {service.Write, "body", false},
+		"cancels a read at the server": {service.Read, "", true},
+		"doesn't cancel a write":       {service.Write, "body", false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -312,13 +313,13 @@
 			began := time.Now()
 			status, _, _ := f.ask(ctx, "/x/8", tt.body)
 			is.Equal(status, 0)
-			<-f.backend.left
+			<-f.backend.closed
 			is.Equal(time.Since(began) < 300*time.Millisecond, tt.within)
 		})
 	}
 }
 
-func TestResendsKeepToTheBudget(t *testing.T) {
+func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const allowance, requests = 10, 30
 	tests := map[string]struct {
 		kind   service.Kind
@@ -326,10 +327,10 @@
 		sends  int64
 		status int
 	}{
-		"refused by the server": {service.Write, "shed", requests + allowance, http.StatusServiceUnavailable},
-		// Each server is out after two of them.
-		"another server at the address": {service.Write, "other", 6, http.StatusServiceUnavailable},
-		"errors of the server":          {service.Read, "error", requests + allowance, http.StatusInternalServerError},
+		"shed by the server": {service.Write, "shed", requests + allowance, http.StatusServiceUnavailable},
+		// Each server is excluded after two such answers.
+		"answered by another server": {service.Write, "other", 6, http.StatusServiceUnavailable},
+		"errors of the server":       {service.Read, "error", requests + allowance, http.StatusInternalServerError},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -348,7 +349,7 @@
 	}
 }
 
-func TestARequestThatCrashesServersIsKeptAway(t *testing.T) {
+func TestRequestsThatCrashServersAreQuarantined(t *testing.T) {
 	is := is.New(t)
 	f := start(t, service.Write, "crash")
 	for n := range 3 {
@@ -365,12 +366,12 @@
 	is.Equal(f.backend.requests.Load(), int64(3))
 	wait, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(wait > 60) // as long as the request is kept away
+	is.True(wait > 60) // the rest of the quarantine, in seconds
 	_, header, _ = f.ask(t.Context(), "/x/8", "other")
 	is.True(header.Get(result.HeaderCode) != result.Quarantined.String())
 }
 
-func TestABrokenAnswerOfALiveServerIsNoCrash(t *testing.T) {
+func TestTruncatedAnswerOfARunningServerIsNotACrash(t *testing.T) {
 	is := is.New(t)
 	f := start(t, service.Write, "cut", "cut", "cut", "cut", "ok")
 	for range 4 {
@@ -380,7 +381,7 @@
 	is.Equal(f.crashes(), 0)
 }
 
-// crashes returns how many crashes the entry has noted.
+// crashes returns the number of crashes that the entry has recorded.
 func (f *fixture) crashes() int {
 	n := 0
 	for _, e := range f.handler.Quarantine.Entries(time.Now()) {
--- a/internal/forward/header.go
+++ b/internal/forward/header.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// target returns the URL that repeats the request's target to the byte.
+// target returns a URL that reproduces the request target byte for byte.
 func target(r *http.Request) *url.URL {
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
 		path, query, found := strings.Cut(r.RequestURI, "?")
@@ -18,11 +18,11 @@
 	return &u
 }
 
-// passOn copies the headers that don't concern one connection only.
-func passOn(dst, src http.Header) {
+// copyEndToEnd copies all headers except hop-by-hop ones.
+func copyEndToEnd(dst, src http.Header) {
 	listed := src["Connection"]
 	for name, values := range src {
-		if hopByHop(name) || named(listed, name) {
+		if hopByHop(name) || listsHeader(listed, name) {
 			continue
 		}
 		dst[name] = values
@@ -39,8 +39,8 @@
 	}
 }
 
-// named tells whether the Connection header lists a name.
-func named(listed []string, name string) bool {
+// listsHeader reports whether the values of a Connection header list a name.
+func listsHeader(listed []string, name string) bool {
 	for _, line := range listed {
 		for _, field := range strings.Split(line, ",") {
 			if textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(field)) == name {
--- a/internal/forward/observe.go
+++ b/internal/forward/observe.go
@@ -7,8 +7,8 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// observe counts a request by its kind and code. Routes are not labels: a
-// configuration may have hundreds.
+// observe counts a request by its kind and code. Routes are not used as labels:
+// a configuration may have hundreds, which would make too many time series.
 func (h *Handler) observe(c *call, took time.Duration) {
 	kind := "none"
 	if c.route != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -164,7 +164,7 @@
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
 	n.handler = &forward.Handler{
 		Config: n.forwardConfig, Dispatcher: n.dispatcher, Upstream: n.upstream,
-		Quarantine: n.Quarantine, Resends: n.resends, Leaving: n.leaving.Load, Headers: o.Headers, Load: o.Load,
+		Quarantine: n.Quarantine, RetryLimits: n.resends, Leaving: n.leaving.Load, Headers: o.Headers, Load: o.Load,
 		StoreAge: n.storeAge, Log: o.Log, Metrics: o.Metrics,
 	}
 	n.peers.Self = peer.Sender{Instance: o.Self.Instance, Incarnation: o.Self.Incarnation}
