--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -222,7 +222,7 @@
 	start := time.Now()
 	c.server, c.tried = m.Name, append(c.tried, m.Name)
 	ans, err := c.h.Upstream.Send(c.sendCtx, &upstream.Request{
-		Server: m.Name, Address: m.Address, HTTP: c.outgoing(m), ID: c.id, Repeatable: c.idempotent(),
+		Server: m.Name, Address: m.Address, HTTP: c.outgoing(m), ID: c.id, Idempotent: c.idempotent(),
 	})
 	if err != nil {
 		return nil, c.recordSendError(m, start, asSendError(err))
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -24,7 +24,7 @@
 	fingerprint := c.fingerprint()
 	go func() {
 		time.Sleep(crashCheckDelay)
-		if c.h.Upstream.Alive(context.Background(), m.Address) {
+		if c.h.Upstream.CanConnect(context.Background(), m.Address) {
 			return
 		}
 		c.h.Quarantine.Sight(time.Now(), fingerprint, origin)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -158,7 +158,7 @@
 // New returns a Node that knows nothing yet.
 func New(o Options) *Node {
 	n := &Node{options: o, began: time.Now(), Roster: &roster.Roster{Grace: o.Lapse, Log: o.Log}}
-	n.upstream = &upstream.Client{Connect: connectTime, Idle: idleTime, IdleOnce: idleOnceTime, RequestID: o.Headers.RequestID}
+	n.upstream = &upstream.Client{ConnectTimeout: connectTime, IdleTimeout: idleTime, NonIdempotentIdleTimeout: idleOnceTime, RequestID: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
 	n.Beacon = &beacon.Beacon{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, Heard: n.heard, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
@@ -403,7 +403,7 @@
 // check connects to the servers of which it is not known whether they are in reach.
 func (n *Node) check(ctx context.Context, now time.Time) {
 	for _, m := range n.Roster.Checks(now) {
-		go func() { n.Roster.Checked(time.Now(), m, n.upstream.Alive(ctx, m.Address)) }()
+		go func() { n.Roster.Checked(time.Now(), m, n.upstream.CanConnect(ctx, m.Address)) }()
 	}
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,17 +1,17 @@
-// Package upstream sends one request to one backend server over HTTP/1.1, once,
-// on a connection that it keeps, and says what became of it.
+// Package upstream is an HTTP/1.1 client with a connection pool that sends one
+// request to one backend server, once, and reports the outcome.
 //
-// It never sends a request again by itself. An answer is told from others by the
-// id of its request: servers may answer twice, late, or without an announced
-// end. Answers to earlier requests are skipped; a connection that carried one, or
-// bytes that belong to no answer, isn't used again.
+// It never retries by itself. Answers are matched to requests by the request id,
+// since servers may answer twice, late, or without a content length. Answers to
+// earlier requests are skipped; a connection on which one, or bytes outside any
+// answer, were received is not reused.
 //
-// A send that fails says whether any byte of the request was taken by a
-// connection; only if none was did the request provably not run.
+// A [SendError] reports whether any byte of the request was written to a
+// connection. Only if none was, the request provably did not run.
 //
 // # Usage
 //
-//	c := &upstream.Client{Connect: 300 * time.Millisecond, Headers: names}
+//	c := &upstream.Client{ConnectTimeout: 300 * time.Millisecond, RequestID: "X-Request-Id"}
 //	ans, err := c.Send(ctx, &upstream.Request{Server: "i-1", Address: addr, HTTP: r, ID: reqID})
 //	if err != nil {
 //		return err // a *upstream.SendError
@@ -39,52 +39,55 @@
 )
 
 const (
-	// maxStrays is how many answers to other requests are skipped before a
-	// connection is given up.
-	maxStrays = 4
-	// strayBytes bounds the body of an answer that is skipped.
-	strayBytes = 1 << 20
-	// bufferSize is that of a connection's buffers, about one answer.
+	// maxStrayAnswers is how many answers to other requests are skipped before
+	// the send fails.
+	maxStrayAnswers = 4
+	// maxStrayBody bounds the body of a skipped answer in bytes.
+	maxStrayBody = 1 << 20
+	// bufferSize is the size of a connection's read and write buffers in bytes,
+	// about one answer.
 	bufferSize = 4 << 10
-	// inlineBody is the longest body that is written before the answer is
-	// read; it fits in the smallest socket buffers.
-	inlineBody = 4 << 10
-	// unackedTime is how long the kernel waits for the acknowledgement of bytes
-	// or probes before it ends a connection: three retransmissions between
-	// regions.
-	unackedTime = 600 * time.Millisecond
-	// probeTime is the pause before and between probes of a connection on which
-	// nothing moves, the least that kernels take.
-	probeTime = time.Second
-	// idleMargin is how much sooner than the server's announced idle timeout a
-	// connection is given up.
+	// maxInlineBody is the longest body in bytes that is written before the
+	// answer is read rather than concurrently; it fits in the smallest socket
+	// buffers, so that the write doesn't block.
+	maxInlineBody = 4 << 10
+	// unackedTimeout is how long the kernel waits for the acknowledgement of data
+	// or keepalive probes before it aborts a connection: three retransmissions
+	// between regions.
+	unackedTimeout = 600 * time.Millisecond
+	// keepaliveInterval is the time before and between TCP keepalive probes on an
+	// idle connection, the shortest that kernels accept.
+	keepaliveInterval = time.Second
+	// idleMargin is how long before the idle timeout announced by the server a
+	// connection is closed.
 	idleMargin = time.Second
 )
 
 type (
-	// Client sends requests. It is safe for concurrent use; its fields must not
-	// change after the first call.
+	// Client sends requests over pooled connections. It is safe for concurrent
+	// use; its fields must not change after the first call.
 	Client struct {
-		// Dial connects to a server; nil is TCP.
+		// Dial connects to a server; nil uses TCP.
 		Dial func(ctx context.Context, address string) (net.Conn, error)
-		// Connect is the longest time to connect.
-		Connect time.Duration
-		// Idle is how long an unused connection is kept for requests that may
-		// be sent again.
-		Idle time.Duration
-		// IdleOnce is how long an unused connection is kept for requests that
-		// may not: a server that closed it unnoticed leaves their outcome
+		// ConnectTimeout bounds the time to connect.
+		ConnectTimeout time.Duration
+		// IdleTimeout is how long an idle connection may be reused for idempotent
+		// requests.
+		IdleTimeout time.Duration
+		// NonIdempotentIdleTimeout is how long an idle connection may be reused
+		// for other requests. It should be shorter: if the server has closed the
+		// connection and the entry has not noticed, the outcome of the request is
 		// unknown.
-		IdleOnce time.Duration
-		// RequestID names the header that holds the request's id, in requests
-		// and in answers.
+		NonIdempotentIdleTimeout time.Duration
+		// RequestID is the name of the header that holds the request's id, in
+		// requests and in answers.
 		RequestID string
 
 		mu   sync.Mutex
 		idle map[string][]*conn
 	}
 
-	// Request is one send.
+	// Request is one request to one server.
 	Request struct {
 		// Server is the backend server's name.
 		Server id.Server
@@ -93,63 +96,63 @@
 		// HTTP holds method, URL, host, header, body and content length.
 		// Hop-by-hop headers must have been removed.
 		HTTP *http.Request
-		// ID is the request's id, which the server repeats.
+		// ID is the request's id, which the server repeats in its answer.
 		ID string
-		// Repeatable tells that the request may run more than once.
-		Repeatable bool
+		// Idempotent is set if the request may run more than once.
+		Idempotent bool
 	}
 
 	// Answer is a backend server's answer. Its body ends with io.EOF only if it
-	// came whole.
+	// was received completely.
 	Answer struct {
 		// Status is the HTTP status.
 		Status int
-		// Header is the header as it came.
+		// Header is the header as received.
 		Header http.Header
-		// Length is the announced length of the body, -1 if none is.
+		// Length is the content length, -1 if there is none.
 		Length int64
 		// Body is the answer's body; its errors are *SendError.
 		Body io.Reader
-		// Latency is the time to the answer's header.
+		// Latency is the time from the start of the send to the answer's header.
 		Latency time.Duration
 
 		exchange *exchange
 	}
 
-	// SendError says how a send ended without a whole answer.
+	// SendError reports a send that ended without a complete answer.
 	SendError struct {
-		// Code is the numbered outcome.
+		// Code is the result code.
 		Code result.Code
-		// Sent tells whether any byte of the request was taken by a
+		// Sent reports whether any byte of the request was written to a
 		// connection.
 		Sent bool
 		// Err is the cause.
 		Err error
 	}
 
-	// exchange is one request on its connection.
+	// exchange is the state of one request on its connection.
 	exchange struct {
-		client  *Client
-		conn    *conn
-		request *Request
-		ctx     context.Context
-		resp    *http.Response
-		stop    func() bool
-		written chan error
-		base    int64
-		whole   bool
-		strays  int
-		once    sync.Once
+		client      *Client
+		conn        *conn
+		request     *Request
+		ctx         context.Context
+		resp        *http.Response
+		stopCancel  func() bool
+		written     chan error
+		startOffset int64
+		complete    bool
+		strays      int
+		once        sync.Once
 	}
 
 	conn struct {
 		net.Conn
-		address string
-		read    *bufio.Reader
-		write   *bufio.Writer
-		wrote   atomic.Int64
-		used    time.Time
-		keep    time.Duration
+		address     string
+		read        *bufio.Reader
+		write       *bufio.Writer
+		wrote       atomic.Int64
+		lastUsed    time.Time
+		idleTimeout time.Duration
 	}
 
 	body struct {
@@ -158,66 +161,66 @@
 	}
 )
 
-var errUnfit = errors.New("answer can't be trusted")
+var errInvalidAnswer = errors.New("invalid answer")
 
-// Error formats the error with its code.
+// Error returns the code and the cause.
 func (e *SendError) Error() string {
-	return "send ended with code " + e.Code.String() + ": " + e.Err.Error()
+	return "send failed with code " + e.Code.String() + ": " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Write counts what the connection took.
+// Write writes to the connection and counts the bytes written.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.wrote.Add(int64(n))
 	return n, err
 }
 
-// Send sends the request and returns the answer once its header has come. The
-// error is a *SendError. The answer must be closed.
+// Send sends the request and returns the answer once its header has been received.
+// The error is a *SendError. The caller must close the answer.
 func (c *Client) Send(ctx context.Context, req *Request) (*Answer, error) {
-	began := time.Now()
-	cn := c.take(req)
+	start := time.Now()
+	cn := c.get(req)
 	if cn == nil {
 		var err error
 		if cn, err = c.connect(ctx, req.Address); err != nil {
 			return nil, &SendError{Code: connectCode(ctx), Err: err}
 		}
 	}
-	x := &exchange{client: c, conn: cn, request: req, ctx: ctx, base: cn.wrote.Load(), written: make(chan error, 1)}
+	x := &exchange{client: c, conn: cn, request: req, ctx: ctx, startOffset: cn.wrote.Load(), written: make(chan error, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = cn.SetDeadline(deadline)
 	}
-	x.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
-	if err := x.write(); err != nil {
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
+	if err := x.writeRequest(); err != nil {
 		return nil, x.fail(err)
 	}
-	if err := x.answer(); err != nil {
+	if err := x.readAnswer(); err != nil {
 		return nil, x.fail(err)
 	}
 	a := &Answer{
 		Status: x.resp.StatusCode, Header: x.resp.Header, Length: x.resp.ContentLength,
-		Latency: time.Since(began), exchange: x,
+		Latency: time.Since(start), exchange: x,
 	}
 	a.Body = &body{exchange: x, src: x.resp.Body}
 	return a, nil
 }
 
-// Close ends the answer. A connection whose answer has not come whole is
-// closed, which cancels the request at most backend servers.
+// Close releases the answer's connection. If the answer was not received
+// completely, the connection is closed, which cancels the request at most backend
+// servers.
 func (a *Answer) Close() { a.exchange.close() }
 
-// CloseIdle closes the connections that no request is using and that have been
-// kept for too long.
+// CloseIdle closes the pooled connections whose idle timeout has passed.
 func (c *Client) CloseIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, list := range c.idle {
 		kept := list[:0]
 		for _, cn := range list {
-			if now.Sub(cn.used) < cn.keep {
+			if now.Sub(cn.lastUsed) < cn.idleTimeout {
 				kept = append(kept, cn)
 				continue
 			}
@@ -231,8 +234,9 @@
 	}
 }
 
-// Alive tells whether a server takes a new connection.
-func (c *Client) Alive(ctx context.Context, address string) bool {
+// CanConnect reports whether a server accepts a new connection, which is then added
+// to the pool.
+func (c *Client) CanConnect(ctx context.Context, address string) bool {
 	cn, err := c.connect(ctx, address)
 	if err != nil {
 		return false
@@ -253,7 +257,7 @@
 }
 
 func (c *Client) connect(ctx context.Context, address string) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.Connect)
+	ctx, cancel := context.WithTimeout(ctx, c.ConnectTimeout)
 	defer cancel()
 	dial := c.Dial
 	if dial == nil {
@@ -263,31 +267,32 @@
 	if err != nil {
 		return nil, err
 	}
-	cn := &conn{Conn: raw, address: address, keep: c.Idle}
+	cn := &conn{Conn: raw, address: address, idleTimeout: c.IdleTimeout}
 	cn.read, cn.write = bufio.NewReaderSize(raw, bufferSize), bufio.NewWriterSize(cn, bufferSize)
 	return cn, nil
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
-		Control:         sockopt.LimitUnacked(unackedTime),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeTime, Interval: probeTime, Count: 1},
+		Control:         sockopt.LimitUnacked(unackedTimeout),
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepaliveInterval, Interval: keepaliveInterval, Count: 1},
 	}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// take returns the connection that was used last, if it is fit for the request.
-func (c *Client) take(req *Request) *conn {
-	limit := c.Idle
-	if !req.Repeatable {
-		limit = c.IdleOnce
+// get removes the most recently used connection from the pool and returns it. It
+// returns nil if there is none that the request may use.
+func (c *Client) get(req *Request) *conn {
+	limit := c.IdleTimeout
+	if !req.Idempotent {
+		limit = c.NonIdempotentIdleTimeout
 	}
 	for {
 		cn := c.pop(req.Address, limit)
 		if cn == nil {
 			return nil
 		}
-		if cn.quiet() {
+		if cn.usable() {
 			return cn
 		}
 		_ = cn.Close()
@@ -302,7 +307,7 @@
 		return nil
 	}
 	cn := list[len(list)-1]
-	if time.Since(cn.used) >= min(limit, cn.keep) {
+	if time.Since(cn.lastUsed) >= min(limit, cn.idleTimeout) {
 		return nil
 	}
 	c.idle[address] = list[:len(list)-1]
@@ -311,7 +316,7 @@
 
 func (c *Client) put(cn *conn) {
 	_ = cn.SetDeadline(time.Time{})
-	cn.used = time.Now()
+	cn.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -320,8 +325,8 @@
 	c.idle[cn.address] = append(c.idle[cn.address], cn)
 }
 
-// quiet tells whether the connection is open and has no bytes in waiting.
-func (c *conn) quiet() bool {
+// usable reports whether the connection is open and has no unread bytes.
+func (c *conn) usable() bool {
 	if c.read.Buffered() > 0 {
 		return false
 	}
@@ -333,20 +338,21 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	drained := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, err := syscall.Read(int(fd), b[:])
-		quiet = n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK))
+		drained = n < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK))
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && drained
 }
 
-// write sends the request, a long body beside the reading of the answer.
-func (x *exchange) write() error {
+// writeRequest writes the request. A long body is written concurrently with reading
+// the answer, since a server may answer before it has read the body.
+func (x *exchange) writeRequest() error {
 	long := x.request.HTTP.Body != nil && x.request.HTTP.Body != http.NoBody &&
-		(x.request.HTTP.ContentLength < 0 || x.request.HTTP.ContentLength > inlineBody)
+		(x.request.HTTP.ContentLength < 0 || x.request.HTTP.ContentLength > maxInlineBody)
 	if !long {
 		x.written <- nil
 		return x.conn.send(x.request.HTTP)
@@ -362,8 +368,9 @@
 	return c.write.Flush()
 }
 
-// answer reads up to the header of the request's answer.
-func (x *exchange) answer() error {
+// readAnswer reads up to and including the header of the request's answer. It skips
+// interim responses and answers to other requests.
+func (x *exchange) readAnswer() error {
 	for {
 		resp, err := http.ReadResponse(x.conn.read, x.request.HTTP)
 		if err != nil {
@@ -372,42 +379,42 @@
 		got := resp.Header.Get(x.client.RequestID)
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return fmt.Errorf("%w: it switches protocols", errUnfit)
+			return fmt.Errorf("%w: switching protocols is not supported", errInvalidAnswer)
 		case resp.StatusCode < http.StatusOK:
 			continue
 		case got == x.request.ID, got == "" && resp.StatusCode >= http.StatusMultipleChoices:
 			x.resp = resp
 			return nil
 		case got == "":
-			return fmt.Errorf("%w: it has no request id", errUnfit)
+			return fmt.Errorf("%w: no request id", errInvalidAnswer)
 		}
-		if x.strays++; x.strays > maxStrays {
-			return fmt.Errorf("%w: it belongs to request %q", errUnfit, got)
+		if x.strays++; x.strays > maxStrayAnswers {
+			return fmt.Errorf("%w: belongs to request %q", errInvalidAnswer, got)
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, strayBytes))
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBody))
 		if err != nil {
 			return err
 		}
-		if n == strayBytes {
-			return fmt.Errorf("%w: it belongs to request %q", errUnfit, got)
+		if n == maxStrayBody {
+			return fmt.Errorf("%w: belongs to request %q", errInvalidAnswer, got)
 		}
 	}
 }
 
-// fail ends the exchange and classifies err.
+// fail closes the connection and returns err with its result code.
 func (x *exchange) fail(err error) *SendError {
 	cause := x.ctx.Err()
 	x.close()
-	// A body that is still being written counts until its writer has ended.
+	// Wait for the concurrent writer, so that all bytes written are counted.
 	x.written <- <-x.written
-	sent := x.conn.wrote.Load() > x.base
+	sent := x.conn.wrote.Load() > x.startOffset
 	return &SendError{Code: failCode(err, cause, sent), Sent: sent, Err: err}
 }
 
 func failCode(err, cause error, sent bool) result.Code {
 	switch {
 	case cause == nil && sent && errors.Is(err, syscall.ETIMEDOUT):
-		// The kernel ended a connection whose bytes were not acknowledged.
+		// The kernel aborted the connection because data was not acknowledged.
 		return result.ConnectionSilent
 	case errors.Is(cause, context.DeadlineExceeded), cause == nil && isTimeout(err):
 		return choose(sent, result.AnswerLate, result.DeadlinePassed)
@@ -432,11 +439,11 @@
 	return no
 }
 
-// close gives the connection back if nothing is left on it, and closes it
+// close returns the connection to the pool if it can be reused, and closes it
 // otherwise.
 func (x *exchange) close() {
 	x.once.Do(func() {
-		canceled := !x.stop()
+		canceled := !x.stopCancel()
 		if canceled || !x.reusable() {
 			_ = x.conn.Close()
 			return
@@ -446,7 +453,7 @@
 }
 
 func (x *exchange) reusable() bool {
-	if !x.whole || x.strays > 0 || x.resp.Close || x.conn.read.Buffered() > 0 {
+	if !x.complete || x.strays > 0 || x.resp.Close || x.conn.read.Buffered() > 0 {
 		return false
 	}
 	select {
@@ -458,8 +465,8 @@
 		// The server answered before it had read the whole body.
 		return false
 	}
-	x.conn.keep = min(x.conn.keep, announcedIdle(x.resp.Header, x.conn.keep))
-	return x.conn.keep > 0
+	x.conn.idleTimeout = min(x.conn.idleTimeout, announcedIdle(x.resp.Header, x.conn.idleTimeout))
+	return x.conn.idleTimeout > 0
 }
 
 // Read reads the answer's body.
@@ -469,7 +476,7 @@
 	case nil:
 		return n, nil
 	case io.EOF:
-		b.exchange.whole = true
+		b.exchange.complete = true
 		return n, io.EOF
 	default:
 		return n, b.exchange.fail(err)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -21,7 +21,8 @@
 
 const idHeader = "X-Id"
 
-// serve answers each connection with handle and returns its address.
+// serve starts a TCP server that calls handle with each connection and its number.
+// It returns the server's address.
 func serve(t *testing.T, handle func(n int, c net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +42,8 @@
 	return l.Addr().String()
 }
 
-// requests reads requests of a connection and writes what answer returns, until
-// it returns nothing.
+// requests reads requests from a connection and writes the answers that answer
+// returns, until it returns an empty one.
 func requests(c net.Conn, answer func(n int, r *http.Request) string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
@@ -65,7 +66,7 @@
 }
 
 func newClient() *upstream.Client {
-	return &upstream.Client{Connect: time.Second, Idle: 5 * time.Second, IdleOnce: time.Second, RequestID: idHeader}
+	return &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second, NonIdempotentIdleTimeout: time.Second, RequestID: idHeader}
 }
 
 func send(ctx context.Context, c *upstream.Client, addr, reqID, body string) (string, error) {
@@ -78,7 +79,7 @@
 		return "", err
 	}
 	r.Header.Set(idHeader, reqID)
-	ans, err := c.Send(ctx, &upstream.Request{Server: "i-1", Address: addr, HTTP: r, ID: reqID, Repeatable: body == ""})
+	ans, err := c.Send(ctx, &upstream.Request{Server: "i-1", Address: addr, HTTP: r, ID: reqID, Idempotent: body == ""})
 	if err != nil {
 		return "", err
 	}
@@ -87,18 +88,18 @@
 	return string(b), err
 }
 
-func TestAnswersAreMatchedToTheirRequest(t *testing.T) {
+func TestAnswersAreMatchedToRequests(t *testing.T) {
 	tests := map[string]struct {
 		first, second string
 		delay         time.Duration
 	}{
-		"second answer at once":      {first: ok("a", "one") + ok("a", "one")},
+		"duplicate answer":           {first: ok("a", "one") + ok("a", "one")},
 		"bytes after the answer":     {first: ok("a", "one") + "garbage"},
-		"late answer to the first":   {first: ok("a", "one"), second: ok("a", "one") + ok("b", "two")},
+		"late duplicate answer":      {first: ok("a", "one"), second: ok("a", "one") + ok("b", "two")},
 		"interim answer":             {first: ok("a", "one"), second: "HTTP/1.1 103 Early Hints\r\n\r\n" + ok("b", "two")},
-		"end of connection is end":   {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nConnection: close\r\n\r\none"},
-		"kept connection is ended":   {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"},
-		"the server's timeout is up": {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nKeep-Alive: timeout=1\r\nContent-Length: 3\r\n\r\none"},
+		"answer without a length":    {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nConnection: close\r\n\r\none"},
+		"connection: close":          {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"},
+		"keep-alive timeout expired": {first: "HTTP/1.1 200 OK\r\nX-Id: a\r\nKeep-Alive: timeout=1\r\nContent-Length: 3\r\n\r\none"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +130,7 @@
 	}
 }
 
-func TestFailuresSayWhetherTheRequestWasSent(t *testing.T) {
+func TestSendErrors(t *testing.T) {
 	cut := func(out string) func(int, net.Conn) {
 		return func(_ int, c net.Conn) {
 			requests(c, func(int, *http.Request) string {
@@ -144,8 +145,8 @@
 		sent   bool
 	}{
 		"closed before the answer": {cut(""), result.AnswerCut, true},
-		"cut in the header":        {cut("HTTP/1.1 200 O"), result.AnswerCut, true},
-		"cut in the body":          {cut("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 9\r\n\r\none"), result.AnswerCut, true},
+		"truncated header":         {cut("HTTP/1.1 200 O"), result.AnswerCut, true},
+		"truncated body":           {cut("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 9\r\n\r\none"), result.AnswerCut, true},
 		"no answer": {func(_ int, c net.Conn) {
 			requests(c, func(int, *http.Request) string { time.Sleep(time.Second); return "" })
 		}, result.AnswerLate, true},
@@ -166,7 +167,7 @@
 	}
 }
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionLeavesRequestUnsent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -179,7 +180,7 @@
 	is.True(!failed.Sent)
 }
 
-func TestEarlyAnswerToALongBody(t *testing.T) {
+func TestAnswerBeforeEndOfRequestBody(t *testing.T) {
 	is := is.New(t)
 	var connections atomic.Int64
 	addr := serve(t, func(_ int, c net.Conn) {
@@ -190,7 +191,7 @@
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 413 Content Too Large\r\nX-Id: "+r.Header.Get(idHeader)+"\r\nContent-Length: 3\r\n\r\none")
-		time.Sleep(300 * time.Millisecond) // reads nothing more for now
+		time.Sleep(300 * time.Millisecond) // leaves the rest of the body unread
 	})
 	c := newClient()
 	for _, reqID := range []string{"a", "b"} {
@@ -198,10 +199,10 @@
 		is.NoErr(err)
 		is.Equal(got, "one")
 	}
-	is.Equal(connections.Load(), int64(2)) // the first had the rest of a body due
+	is.Equal(connections.Load(), int64(2)) // the first connection still had part of a body to write
 }
 
-func TestCancellingEndsTheConnection(t *testing.T) {
+func TestCancellationClosesTheConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan time.Time, 1)
 	addr := serve(t, func(_ int, c net.Conn) {
--- a/internal/upstream/keepalive.go
+++ b/internal/upstream/keepalive.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// announcedIdle returns how long a connection may be kept by the answer's
-// Keep-Alive header, or otherwise if it names no time.
-func announcedIdle(h http.Header, otherwise time.Duration) time.Duration {
+// announcedIdle returns how long an idle connection may be kept according to the
+// answer's Keep-Alive header, or fallback if the header has no timeout.
+func announcedIdle(h http.Header, fallback time.Duration) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -19,5 +19,5 @@
 			return time.Duration(s)*time.Second - idleMargin
 		}
 	}
-	return otherwise
+	return fallback
 }
