--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -14,8 +14,8 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Beliefs returns what the entry believes now.
-func (n *Node) Beliefs(now time.Time) *beliefs.Beliefs {
+// State returns a snapshot of the entry's local state for operators.
+func (n *Node) State(now time.Time) *beliefs.Beliefs {
 	self := n.Self()
 	b := &beliefs.Beliefs{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
@@ -33,12 +33,12 @@
 		b.Entries = append(b.Entries, other.Instance)
 	}
 	for _, m := range n.Roster.All() {
-		b.Servers = append(b.Servers, n.believed(now, m, b.EvacuatedZones))
+		b.Servers = append(b.Servers, n.serverState(now, m, b.EvacuatedZones))
 	}
 	return b
 }
 
-func (n *Node) believed(now time.Time, m *roster.Member, evacuated []id.Zone) beliefs.Server {
+func (n *Node) serverState(now time.Time, m *roster.Member, evacuated []id.Zone) beliefs.Server {
 	s := beliefs.Server{Name: m.Name, Service: m.Service, Zone: m.Zone, Slots: m.Slots, Busy: m.Busy(now), Own: m.InFlight()}
 	switch {
 	case m.Leaving:
@@ -59,8 +59,8 @@
 	return s
 }
 
-// Explain tells where a request would go now. Of a route with several services, the
-// one of the smallest draw is taken.
+// Explain returns the server that a request would be sent to now, and why. For a
+// route with several services it returns the service picked by a random draw of 0.
 func (n *Node) Explain(now time.Time, host, path, object string) *beliefs.Explanation {
 	e := &beliefs.Explanation{}
 	c := n.config.Load()
@@ -81,22 +81,22 @@
 	}
 	evacuated := n.Roster.Evacuated()
 	for _, m := range ranking {
-		e.Ranking = append(e.Ranking, n.believed(now, m, evacuated))
+		e.Ranking = append(e.Ranking, n.serverState(now, m, evacuated))
 	}
 	return e
 }
 
-// ServeOperators answers operators' questions on what the entry believes.
+// ServeOperators registers the operators' HTTP endpoints for the entry's state.
 func (n *Node) ServeOperators(mux *http.ServeMux) {
-	answer := func(w http.ResponseWriter, v any) {
+	writeJSON := func(w http.ResponseWriter, v any) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(v); err != nil {
-			n.options.Log.Warn("operator not answered", "err", err)
+			n.options.Log.Warn("operator response not written", "err", err)
 		}
 	}
-	mux.HandleFunc("GET "+beliefs.Path, func(w http.ResponseWriter, _ *http.Request) { answer(w, n.Beliefs(time.Now())) })
+	mux.HandleFunc("GET "+beliefs.Path, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.State(time.Now())) })
 	mux.HandleFunc("GET "+beliefs.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		answer(w, n.Explain(time.Now(), q.Get("host"), q.Get("path"), q.Get("object")))
+		writeJSON(w, n.Explain(time.Now(), q.Get("host"), q.Get("path"), q.Get("object")))
 	})
 }
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// idleConnections closes callers' connections that have been unused for too
-// long. The limit may change while connections are open, which http.Server's own
-// doesn't allow. The zero idleConnections is ready for use.
+// idleConnections closes callers' connections that have been idle for too long. In
+// contrast to http.Server.IdleTimeout, the timeout may change while connections are
+// open. The zero value is ready for use.
 type idleConnections struct {
 	mu    sync.Mutex
 	since map[net.Conn]time.Time
 }
 
-// changed takes in the state of a connection.
-func (i *idleConnections) changed(c net.Conn, s http.ConnState) {
+// onStateChange records a state change of a connection.
+func (i *idleConnections) onStateChange(c net.Conn, s http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s != http.StateIdle {
@@ -29,7 +29,7 @@
 	i.since[c] = time.Now()
 }
 
-// close closes the connections that have been unused for the limit.
+// close closes the connections that have been idle for at least limit.
 func (i *idleConnections) close(now time.Time, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,18 +1,19 @@
-// Package node is one entry instance: it holds what the entry knows, listens for
-// callers and for other entries, and stops as planned.
+// Package node is one entry instance: it holds the entry's state, listens for
+// callers and for other entries, and shuts down gracefully.
 //
-// What it knows of backend servers, configuration and evacuated zones is put in
-// from outside, by whatever follows the platform's store. A [Node] is ready once
-// it has a configuration and a list of servers, until it is asked to leave.
+// Backend servers, configuration and evacuated zones are supplied from outside, by
+// the code that watches the platform's store, or by a snapshot from another entry.
+// A [Node] is ready once it has a configuration and a list of servers, until its
+// shutdown begins.
 //
 // # Usage
 //
-//	n := node.New(node.Options{Instance: "entry-1", Callers: addr, Log: log})
+//	n := node.New(node.Options{Self: self, Headers: headers, Log: log, Metrics: set})
 //	n.SetBounds(bounds)
 //	n.Configure(config)
 //	n.Roster.Replace(now, servers)
 //	n.Listed()
-//	err := n.Run(ctx) // until ctx ends and the planned stop is over
+//	err := n.Run(ctx) // until ctx ends and the graceful shutdown is over
 package node
 
 import (
@@ -45,85 +46,94 @@
 )
 
 const (
-	// tickTime is how often the state moves on by time alone.
-	tickTime = 100 * time.Millisecond
-	// connectTime is the longest time to connect to a backend server: several
-	// round trips between regions.
-	connectTime = 400 * time.Millisecond
-	// idleTime is how long an unused connection to a server is kept, less than
-	// servers usually keep one.
-	idleTime = 8 * time.Second
-	// idleOnceTime is the same for requests that must not run twice.
-	idleOnceTime = 2 * time.Second
-	// headerTime is how long a caller may take for a request's header.
-	headerTime = 10 * time.Second
-	// maxHeader bounds a request's header in bytes.
-	maxHeader = 64 << 10
-	// defaultIdle is how long a caller's connection may stay unused while no
-	// configuration says.
-	defaultIdle = time.Minute
-	// serveShare is the part of a planned stop's time in which new requests are
-	// still served: callers hear of the stop from the directory and in answers.
+	// tickInterval is the interval of time-driven updates, such as timeouts and
+	// active connection checks.
+	tickInterval = 100 * time.Millisecond
+	// connectTimeout bounds the time to connect to a backend server: several round
+	// trips between regions.
+	connectTimeout = 400 * time.Millisecond
+	// idleTimeout is how long an idle connection to a server is kept, shorter than
+	// the usual idle timeout of servers.
+	idleTimeout = 8 * time.Second
+	// nonIdempotentIdleTimeout is how long an idle connection may be reused for
+	// requests that must not run twice.
+	nonIdempotentIdleTimeout = 2 * time.Second
+	// headerTimeout bounds the time to read a request's header.
+	headerTimeout = 10 * time.Second
+	// maxHeaderBytes bounds the size of a request's header.
+	maxHeaderBytes = 64 << 10
+	// defaultIdleTimeout is the idle timeout of callers' connections if the
+	// configuration has none.
+	defaultIdleTimeout = time.Minute
+	// serveShare is the fraction of the grace period during which new requests are
+	// still served, while callers are notified of the shutdown by the directory and
+	// by the Connection header of answers.
 	serveShare = 0.45
-	// exitTime is left of a planned stop's time for the process to end.
-	exitTime = 300 * time.Millisecond
-	// scouts is how many entries look after an outage of the store for all, so
-	// that the loss of a zone or a region seldom takes all of them.
-	scouts = 3
-	// toleratedCrashes is how many servers a request may crash before it is kept
-	// away: a server may also have crashed for another reason, and its callers
-	// should not pay for it.
+	// exitReserve is the end of the grace period that is reserved for the process to
+	// exit.
+	exitReserve = 300 * time.Millisecond
+	// shortPollEntries is how many entries watch the store with a short timeout, to
+	// detect an outage or a stalled watch on behalf of all entries. There are several,
+	// so that the loss of a zone or region seldom affects all of them.
+	shortPollEntries = 3
+	// toleratedCrashes is how many servers a request may crash before it is
+	// quarantined: a server may have crashed for another reason, for which the caller
+	// should not be refused.
 	toleratedCrashes = 2
-	// budgetShare is the part of the bound on resends that is used, since
-	// entries count over windows that don't begin together.
-	budgetShare = 0.8
+	// retryBudgetShare is the fraction of the retry limits that is used: the entries'
+	// counting windows are not aligned, so that the full limits could be exceeded in
+	// sum.
+	retryBudgetShare = 0.8
 )
 
 type (
-	// Config is a configuration in force.
+	// Config is a configuration of the entry.
 	Config struct {
 		forward.Config
-		// Services holds what it says of the services' servers.
+		// Services holds the server settings of each service.
 		Services map[id.Service]roster.Service `json:"services"`
-		// Idle is how long a caller's connection may stay unused.
+		// Idle is the idle timeout of callers' connections.
 		Idle time.Duration `json:"idle"`
 	}
 
-	// Bounds are what may change while an entry runs.
+	// Bounds are limits that may change while an entry runs.
 	Bounds struct {
-		// Grace is the time between a planned stop and the kill.
+		// Grace is the grace period of a shutdown: the time from the stop signal until
+		// the process is killed.
 		Grace time.Duration
-		// Resends bounds what all entries together send again.
+		// Resends limits the retries of all entries together.
 		Resends forward.Resends
-		// Cold bounds what all entries together send to a cold server.
+		// Cold limits what all entries together send to a cold server.
 		Cold roster.ColdBound
 	}
 
-	// Options say what an entry is and how it serves.
+	// Options configure an entry.
 	Options struct {
-		// Self is what the entry says of itself to the others.
+		// Self describes this entry to the other entries.
 		Self beacon.Node
-		// Lapse is how long after the store's return a missing server is kept.
+		// Lapse is how long a server that is missing from the store is kept after the
+		// store is available again.
 		Lapse time.Duration
-		// BeaconInterval is the time between two beacons to one entry.
+		// BeaconInterval is the interval between heartbeats to one entry.
 		BeaconInterval time.Duration
-		// BeaconTimeout is how long an entry may be silent while it counts as
+		// BeaconTimeout is how long after its last heartbeat an entry still counts as
 		// alive.
 		BeaconTimeout time.Duration
-		// Store holds the followers of the store's objects. They may be added
-		// until Run.
+		// Store holds the followers of the store's objects. More may be added until
+		// Run is called.
 		Store follow.Group
-		// Closing is called during a planned stop when callers are not listened to
-		// any more; the stop waits for its return as long as it may. nil is not
-		// called.
+		// Closing is called during shutdown when the entry stops listening for
+		// callers, unless it is nil. The shutdown waits for its return, within the
+		// grace period.
 		Closing func()
-		// Headers names the headers of requests and answers.
+		// Headers holds the names of the headers of requests and answers.
 		Headers forward.Headers
-		// Load returns what a server's answer says of its load, nil if nothing.
+		// Load extracts the server's load report from the header of an answer; it
+		// returns nil if there is none.
 		Load func(http.Header) *roster.Load
-		// Log gets a line for each event.
+		// Log receives a line per event.
 		Log *slog.Logger
-		// Metrics gets counters and histograms.
+		// Metrics receives counters, gauges and histograms.
 		Metrics *metrics.Set
 	}
 
@@ -133,38 +143,38 @@
 		Roster *roster.Roster
 		// Quarantine holds the requests that crash servers.
 		Quarantine *quarantine.List
-		// Beacon knows the other entries.
+		// Beacon exchanges heartbeats with the other entries.
 		Beacon *beacon.Beacon
 
-		options Options
-		bounds  atomic.Pointer[Bounds]
-		config  atomic.Pointer[Config]
-		listed  atomic.Bool
-		// entriesListed tells that Beacon has met all entries that there are.
+		options       Options
+		bounds        atomic.Pointer[Bounds]
+		config        atomic.Pointer[Config]
+		serversListed atomic.Bool
+		// entriesListed is set once Beacon has been given a complete list of entries.
 		entriesListed atomic.Bool
-		began         time.Time
+		started       time.Time
 		leaving       atomic.Bool
 		upstream      *upstream.Client
-		// dispatcher is the one that handler uses.
-		dispatcher *dispatch.Dispatcher
-		handler    *forward.Handler
-		idle       idleConnections
-		beacons    net.PacketConn
-		peers      rpc.Node
-		wg         sync.WaitGroup
+		// dispatcher is also used by handler.
+		dispatcher    *dispatch.Dispatcher
+		handler       *forward.Handler
+		idleConns     idleConnections
+		heartbeatConn net.PacketConn
+		peers         rpc.Node
+		wg            sync.WaitGroup
 	}
 )
 
-// New returns a Node that knows nothing yet.
+// New returns a Node without configuration and servers.
 func New(o Options) *Node {
-	n := &Node{options: o, began: time.Now(), Roster: &roster.Roster{Grace: o.Lapse, Log: o.Log}}
-	n.upstream = &upstream.Client{ConnectTimeout: connectTime, IdleTimeout: idleTime, NonIdempotentIdleTimeout: idleOnceTime, RequestID: o.Headers.RequestID}
+	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.Lapse, Log: o.Log}}
+	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestID: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
-	n.Beacon = &beacon.Beacon{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, Heard: n.heard, Log: o.Log}
+	n.Beacon = &beacon.Beacon{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, Heard: n.onUpdate, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
 	n.handler = &forward.Handler{
 		Config: n.forwardConfig, Dispatcher: n.dispatcher, Upstream: n.upstream,
-		Quarantine: n.Quarantine, RetryLimits: n.resends, Leaving: n.leaving.Load, Headers: o.Headers, Load: o.Load,
+		Quarantine: n.Quarantine, RetryLimits: n.retryLimits, Leaving: n.leaving.Load, Headers: o.Headers, Load: o.Load,
 		StoreAge: n.storeAge, Log: o.Log, Metrics: o.Metrics,
 	}
 	n.peers.Self = peer.Sender{Instance: o.Self.Instance, Incarnation: o.Self.Incarnation}
@@ -174,8 +184,8 @@
 	return n
 }
 
-// Configure puts a configuration in force, unless one of the same or a later
-// version is.
+// Configure activates a configuration, unless one of the same or a later version is
+// active.
 func (n *Node) Configure(c *Config) {
 	for {
 		old := n.config.Load()
@@ -203,18 +213,18 @@
 // Store returns the followers of the store's objects.
 func (n *Node) Store() follow.Group { return n.options.Store }
 
-// EntriesListed notes that Beacon has met all entries of a list.
+// EntriesListed marks that Beacon has been given a complete list of entries.
 func (n *Node) EntriesListed() { n.entriesListed.Store(true) }
 
-// Listed notes that the roster holds a whole list of the servers.
-func (n *Node) Listed() { n.listed.Store(true) }
+// Listed marks that the roster holds a complete list of servers.
+func (n *Node) Listed() { n.serversListed.Store(true) }
 
-// Ready tells whether the entry serves callers and is not about to stop.
+// Ready reports whether the entry serves callers and is not shutting down.
 func (n *Node) Ready() bool {
-	return n.listed.Load() && n.config.Load() != nil && !n.leaving.Load()
+	return n.serversListed.Load() && n.config.Load() != nil && !n.leaving.Load()
 }
 
-// Self returns what the entry says of itself.
+// Self returns the description of this entry that its heartbeats carry.
 func (n *Node) Self() beacon.Node {
 	self := n.options.Self
 	self.Ready = n.Ready()
@@ -226,16 +236,16 @@
 	return self
 }
 
-// heard takes in the news of other entries.
-func (n *Node) heard(now time.Time, news beacon.News) {
-	n.options.Store.Hint(news.Changes)
-	for _, crash := range news.Crashes {
+// onUpdate applies an update from a heartbeat of another entry.
+func (n *Node) onUpdate(now time.Time, update beacon.News) {
+	n.options.Store.Hint(update.Changes)
+	for _, crash := range update.Crashes {
 		n.Quarantine.Learn(now, crash)
 	}
 }
 
-// OthersSteady returns the longest time for which the store has answered another
-// entry all along.
+// OthersSteady returns the longest time for which the store has been continuously
+// available to any other entry.
 func (n *Node) OthersSteady(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, other := range n.Beacon.Alive(now) {
@@ -244,8 +254,8 @@
 	return longest
 }
 
-// Scout tells whether the entry is one of those that look after an outage of the
-// store for all: a few of those that are alive, by name.
+// Scout reports whether this is a short-poll entry, one of the first
+// shortPollEntries live entries by name.
 func (n *Node) Scout() bool {
 	before := 0
 	for _, other := range n.Beacon.Alive(time.Now()) {
@@ -253,15 +263,16 @@
 			before++
 		}
 	}
-	return before < scouts
+	return before < shortPollEntries
 }
 
-// Entries returns the addresses of the entries for a caller.
+// Entries returns the addresses of the entries that a caller in a zone and region
+// should use.
 func (n *Node) Entries(zone id.Zone, region id.Region) []netip.AddrPort {
 	return directory.Choose(append(n.Beacon.Alive(time.Now()), n.Self()), zone, region)
 }
 
-// gauges writes what the entry believes. Services are few, unlike routes.
+// gauges registers the gauges of the entry's state.
 func (n *Node) gauges(set *metrics.Set) {
 	set.GetOrCreateGauge(`shallotpier_entries`, func() float64 {
 		return float64(len(n.Beacon.Alive(time.Now())) + 1)
@@ -275,7 +286,8 @@
 	set.GetOrCreateGauge(`shallotpier_requests_running`, func() float64 { return float64(n.handler.Running()) })
 }
 
-// serviceGauges adds those of the configuration's services.
+// serviceGauges registers the gauges of the configuration's services. Services are
+// few enough to be labels, unlike routes.
 func (n *Node) serviceGauges(services map[id.Service]roster.Service) {
 	for name := range services {
 		n.options.Metrics.GetOrCreateGauge(fmt.Sprintf(`shallotpier_servers{service=%q,state="usable"}`, name), func() float64 {
@@ -293,18 +305,18 @@
 	}
 }
 
-// Run serves until ctx has ended and the planned stop that this begins is over.
+// Run serves until ctx ends, then shuts down gracefully within the grace period.
 func (n *Node) Run(ctx context.Context) error {
 	o := &n.options
 	listener, err := net.Listen("tcp", o.Self.Callers.String())
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	n.beacons, err = net.ListenPacket("udp", o.Self.Peers.String())
+	n.heartbeatConn, err = net.ListenPacket("udp", o.Self.Peers.String())
 	if err != nil {
 		return eris.Wrap(err, "listen for entries")
 	}
-	defer func() { _ = n.beacons.Close() }()
+	defer func() { _ = n.heartbeatConn.Close() }()
 	peers, err := net.Listen("tcp", o.Self.Peers.String())
 	if err != nil {
 		return eris.Wrap(err, "listen for entries")
@@ -313,19 +325,19 @@
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	n.wg.Go(func() { n.tick(background) })
-	n.wg.Go(func() { n.relay(background) })
+	n.wg.Go(func() { n.bootstrap(background) })
 	n.wg.Go(func() {
 		if err := n.peers.Serve(background, peers); err != nil {
-			o.Log.Error("other entries are not answered any more", "err", err)
+			o.Log.Error("RPC server for other entries failed", "err", err)
 		}
 	})
 	n.wg.Go(func() {
-		if err := n.Beacon.Run(background, n.beacons); err != nil {
-			o.Log.Error("beacons ended", "err", err)
+		if err := n.Beacon.Run(background, n.heartbeatConn); err != nil {
+			o.Log.Error("heartbeats failed", "err", err)
 		}
 	})
 	server := &http.Server{
-		Handler: n.handler, ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeader, ConnState: n.idle.changed,
+		Handler: n.handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: n.idleConns.onStateChange,
 		ErrorLog: slog.NewLogLogger(o.Log.With("library", "net/http").Handler(), slog.LevelWarn),
 	}
 	ended := make(chan error, 1)
@@ -342,16 +354,17 @@
 	return err
 }
 
-// stop ends the entry as planned.
+// stop shuts down gracefully: it announces the shutdown, serves new requests for a
+// while, then stops listening and waits for the running requests and Options.Closing.
 func (n *Node) stop(server *http.Server) error {
 	o := &n.options
 	o.Log.Info("leaving", "running", n.handler.Running())
 	n.leaving.Store(true)
-	n.Beacon.Announce(n.beacons)
+	n.Beacon.Announce(n.heartbeatConn)
 	grace := n.bounds.Load().Grace
 	serve := time.Duration(float64(grace) * serveShare)
 	time.Sleep(serve)
-	ctx, cancel := context.WithTimeout(context.Background(), grace-serve-exitTime)
+	ctx, cancel := context.WithTimeout(context.Background(), grace-serve-exitReserve)
 	defer cancel()
 	closed := make(chan struct{})
 	go func() {
@@ -364,7 +377,7 @@
 	select {
 	case <-closed:
 	case <-ctx.Done():
-		o.Log.Warn("stopped before the work of closing was done", "limit", grace-serve-exitTime)
+		o.Log.Warn("stopped before the shutdown hook returned", "limit", grace-serve-exitReserve)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		o.Log.Warn("stopped with requests running", "running", n.handler.Running())
@@ -375,7 +388,7 @@
 }
 
 func (n *Node) tick(ctx context.Context) {
-	t := time.NewTicker(tickTime)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -383,40 +396,40 @@
 			return
 		case now := <-t.C:
 			n.Roster.Step(now)
-			if n.sharesCold(now) {
+			if n.mayUseColdRates(now) {
 				n.Roster.SetEntries(n.options.Self.Peers, n.Beacon.Known())
 			}
-			n.check(ctx, now)
+			n.checkConnections(ctx, now)
 			n.upstream.CloseIdle(now)
-			n.idle.close(now, n.idleLimit())
+			n.idleConns.close(now, n.callerIdleTimeout())
 		}
 	}
 }
 
-// sharesCold tells whether the entry may use its part of cold servers' rates: it
-// must know who else does, and a process before it may have sent its part until it
-// ended.
-func (n *Node) sharesCold(now time.Time) bool {
-	return n.entriesListed.Load() && now.Sub(n.began) >= coldrate.Span
+// mayUseColdRates reports whether the entry may use its share of cold servers'
+// rates. It must know the other entries, which determine the share, and a previous
+// process of this entry may have used the share of the last coldrate.Span.
+func (n *Node) mayUseColdRates(now time.Time) bool {
+	return n.entriesListed.Load() && now.Sub(n.started) >= coldrate.Span
 }
 
-// check connects to the servers of which it is not known whether they are in reach.
-func (n *Node) check(ctx context.Context, now time.Time) {
+// checkConnections starts the active connection checks that are due.
+func (n *Node) checkConnections(ctx context.Context, now time.Time) {
 	for _, m := range n.Roster.Checks(now) {
 		go func() { n.Roster.Checked(time.Now(), m, n.upstream.CanConnect(ctx, m.Address)) }()
 	}
 }
 
-func (n *Node) idleLimit() time.Duration {
+func (n *Node) callerIdleTimeout() time.Duration {
 	if c := n.config.Load(); c != nil && c.Idle > 0 {
 		return c.Idle
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 func (n *Node) forwardConfig() *forward.Config {
 	c := n.config.Load()
-	if c == nil || !n.listed.Load() {
+	if c == nil || !n.serversListed.Load() {
 		return nil
 	}
 	return &c.Config
@@ -424,9 +437,9 @@
 
 func (n *Node) storeAge() time.Duration { return n.options.Store.Age(follow.Servers, time.Now()) }
 
-// resends returns this entry's part of what all may send again.
-func (n *Node) resends() forward.Resends {
+// retryLimits returns this entry's share of the retry limits.
+func (n *Node) retryLimits() forward.Resends {
 	r := n.bounds.Load().Resends
 	entries := float64(len(n.Beacon.Known()) + 1)
-	return forward.Resends{Share: r.Share * budgetShare, Allowance: r.Allowance * budgetShare / entries}
+	return forward.Resends{Share: r.Share * retryBudgetShare, Allowance: r.Allowance * retryBudgetShare / entries}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -71,14 +71,15 @@
 	n := newNode(t)
 	is.True(!n.Ready())
 	n.Configure(configOf(1, "/x/"))
-	is.True(!n.Ready()) // no list of servers yet
+	is.True(!n.Ready()) // there is no list of servers yet
 	is.Equal(len(n.Entries("a-1", "a")), 0)
 	n.Listed()
 	is.True(n.Ready())
 	is.Equal(len(n.Entries("a-1", "a")), 1)
 }
 
-// slowServer answers after a delay.
+// slowServer starts a backend server that answers after a delay, and returns its
+// address.
 func slowServer(t *testing.T, delay time.Duration) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +108,7 @@
 	return resp.StatusCode, err
 }
 
-func TestAPlannedStopCutsNothingOff(t *testing.T) {
+func TestGracefulShutdownCompletesRequests(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
 	n.Configure(configOf(1, "/x/"))
@@ -136,7 +137,7 @@
 	time.Sleep(50 * time.Millisecond)
 	is.True(!n.Ready())
 	is.Equal(len(n.Entries("a-1", "a")), 0)
-	// Callers that haven't heard of the stop are still served for a while.
+	// Callers that have not noticed the shutdown yet are still served.
 	status, err := ask(client, addr, "/x/2")
 	is.NoErr(err)
 	is.Equal(status, http.StatusOK)
@@ -147,9 +148,9 @@
 	is.True(err != nil)
 }
 
-// The work of closing, such as a call to a store that doesn't answer, doesn't hold
-// up a planned stop beyond its time.
-func TestAPlannedStopEndsInTime(t *testing.T) {
+// Options.Closing may block, such as in a call to a store that is unavailable. It
+// must not delay the shutdown beyond the grace period.
+func TestShutdownEndsWithinTheGracePeriod(t *testing.T) {
 	is := is.New(t)
 	called := make(chan struct{})
 	n := newNode(t, func(o *node.Options) {
@@ -169,7 +170,7 @@
 	is.True(time.Since(began) < grace)
 }
 
-func TestConfigurationsNeverGoBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
 	n.Listed()
@@ -189,8 +190,9 @@
 	is.NoErr(<-ended)
 }
 
-// Operators see what the entry believes, and where a request would go.
-func TestBeliefs(t *testing.T) {
+// Operators can read the entry's state, and the server that a request would be sent
+// to.
+func TestStateAndExplain(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
 	n.Configure(configOf(3, "/x/"))
@@ -223,10 +225,10 @@
 	is.Equal(e.Reason, "no route")
 }
 
-// After its start an entry leaves cold servers alone for the second in which a
-// process before it may have sent its part of their rate, and until it knows the
-// other entries.
-func TestColdServersAfterAStart(t *testing.T) {
+// A restarted entry could exceed its share of a cold server's rate, since its previous
+// process may have used that share within the last second. For one second after its
+// start, and until it knows the other entries, it sends nothing to cold servers.
+func TestColdServersAreNotUsedRightAfterStart(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
 	n.SetBounds(node.Bounds{Grace: grace, Cold: roster.ColdBound{Overshoot: 1, Allowance: 10}})
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -20,85 +20,85 @@
 )
 
 const (
-	// snapshotMethod asks another entry for a snapshot.
+	// snapshotMethod is the RPC method that returns a snapshot.
 	snapshotMethod = "entry.snapshot"
-	// snapshotTime bounds one such call: some round trips between regions, and
-	// the time to send some hundred kilobytes over a small link.
-	snapshotTime = time.Second
-	// relayTime is how often an entry looks whether it lacks anything, and
-	// relayPause is the pause after a call that failed.
-	relayTime  = 200 * time.Millisecond
-	relayPause = time.Second
+	// snapshotTimeout bounds one call: several round trips between regions, and the
+	// time to send some hundred kilobytes over a slow link.
+	snapshotTimeout = time.Second
+	// bootstrapInterval is how often an entry checks whether it needs a snapshot, and
+	// bootstrapRetryDelay is the delay after a failed call.
+	bootstrapInterval   = 200 * time.Millisecond
+	bootstrapRetryDelay = time.Second
 )
 
 type (
-	// lack is what an entry asks for: the kinds of which the store doesn't tell
-	// it what another entry may know, with the newest change that it knows.
-	lack struct {
+	// snapshotRequest lists the kinds for which the store is unavailable and another
+	// entry may have newer data, with the newest change known to the asking entry.
+	snapshotRequest struct {
 		Known map[follow.Kind]store.Version `json:"known"`
 	}
 
-	// snapshot is what an entry knows of the kinds that another one lacks.
+	// snapshot is an entry's data of the requested kinds, where it is newer.
 	snapshot struct {
-		Configuration  *part[*Config]         `json:"configuration,omitempty"`
-		Servers        *part[[]roster.Server] `json:"servers,omitempty"`
-		EvacuatedZones *part[[]id.Zone]       `json:"evacuatedZones,omitempty"`
-		// Entries are the addresses for beacons of the entries that it knows.
+		Configuration  *versioned[*Config]         `json:"configuration,omitempty"`
+		Servers        *versioned[[]roster.Server] `json:"servers,omitempty"`
+		EvacuatedZones *versioned[[]id.Zone]       `json:"evacuatedZones,omitempty"`
+		// Entries are the heartbeat addresses of all entries known to the sender.
 		Entries []netip.AddrPort `json:"entries"`
 	}
 
-	// part is what is known of one kind, up to date with a change.
-	part[T any] struct {
+	// versioned is the data of one kind as of a change of the store.
+	versioned[T any] struct {
 		Version store.Version `json:"version"`
 		Value   T             `json:"value"`
 	}
 )
 
-// relay takes over from another entry what the store doesn't tell this one, as at
-// a start while the store is away, until ctx ends.
-func (n *Node) relay(ctx context.Context) {
-	pause := relayTime
+// bootstrap fetches from another entry the data that the store does not deliver, as
+// after a start while the store is unavailable. It runs until ctx ends.
+func (n *Node) bootstrap(ctx context.Context) {
+	pause := bootstrapInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = relayTime
+		pause = bootstrapInterval
 		missing := n.options.Store.Missing()
 		if len(missing) == 0 {
 			continue
 		}
-		from, ok := n.best(n.Beacon.Alive(time.Now()), missing)
+		from, ok := n.bestSource(n.Beacon.Alive(time.Now()), missing)
 		if !ok {
 			continue
 		}
-		if err := n.takeOver(ctx, from, missing); err != nil {
-			n.options.Log.Warn("no snapshot from another entry", "instance", from.Instance, "err", err)
-			pause = relayPause
+		if err := n.fetchSnapshot(ctx, from, missing); err != nil {
+			n.options.Log.Warn("snapshot from another entry failed", "instance", from.Instance, "err", err)
+			pause = bootstrapRetryDelay
 		}
 	}
 }
 
-// takeOver asks another entry for what is missing.
-func (n *Node) takeOver(ctx context.Context, from beacon.Node, missing map[follow.Kind]store.Version) error {
-	ctx, cancel := context.WithTimeout(ctx, snapshotTime)
+// fetchSnapshot requests the missing kinds from another entry and applies the answer.
+func (n *Node) fetchSnapshot(ctx context.Context, from beacon.Node, missing map[follow.Kind]store.Version) error {
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var s snapshot
-	err := n.peers.Call(ctx, from.Instance, snapshotMethod, lack{Known: missing}, &s)
-	// Snapshots are rare; a connection that is kept would cost memory.
+	err := n.peers.Call(ctx, from.Instance, snapshotMethod, snapshotRequest{Known: missing}, &s)
+	// Snapshots are rare; an idle connection would only cost memory.
 	n.peers.Drop(from.Instance)
 	if err != nil {
 		return err
 	}
-	n.adopt(time.Now(), from.Instance, &s)
+	n.applySnapshot(time.Now(), from.Instance, &s)
 	return nil
 }
 
-// best returns the entry that knows newer changes of most of the missing kinds.
-// Of several, one that is not about to stop comes first, then one of the own
-// region.
-func (n *Node) best(others []beacon.Node, missing map[follow.Kind]store.Version) (beacon.Node, bool) {
+// bestSource returns the entry that has newer data of the most missing kinds. Ties
+// are resolved in favour of an entry that is not shutting down, then of one in the
+// same region.
+func (n *Node) bestSource(others []beacon.Node, missing map[follow.Kind]store.Version) (beacon.Node, bool) {
 	newer := func(other *beacon.Node) int {
 		kinds := 0
 		for kind, known := range missing {
@@ -132,24 +132,24 @@
 	}
 }
 
-// adopt takes in what another entry knows, where it is newer than what this one
-// does.
-func (n *Node) adopt(now time.Time, from id.Instance, s *snapshot) {
-	known := n.options.Store
+// applySnapshot applies the parts of another entry's snapshot that are newer than the
+// data of this entry.
+func (n *Node) applySnapshot(now time.Time, from id.Instance, s *snapshot) {
+	followers := n.options.Store
 	for _, addr := range s.Entries {
 		if addr.IsValid() && addr != n.options.Self.Peers {
 			n.Beacon.Meet("", addr)
 		}
 	}
 	n.EntriesListed()
-	if p := s.Configuration; p != nil && p.Value != nil && known[follow.Configuration] != nil {
-		known[follow.Configuration].Adopt(p.Version, func() { n.Configure(p.Value) })
+	if p := s.Configuration; p != nil && p.Value != nil && followers[follow.Configuration] != nil {
+		followers[follow.Configuration].Adopt(p.Version, func() { n.Configure(p.Value) })
 	}
-	if p := s.EvacuatedZones; p != nil && known[follow.EvacuatedZones] != nil {
-		known[follow.EvacuatedZones].Adopt(p.Version, func() { n.Roster.Evacuate(now, zoneSet(p.Value)) })
+	if p := s.EvacuatedZones; p != nil && followers[follow.EvacuatedZones] != nil {
+		followers[follow.EvacuatedZones].Adopt(p.Version, func() { n.Roster.Evacuate(now, zoneSet(p.Value)) })
 	}
-	if p := s.Servers; p != nil && known[follow.Servers] != nil {
-		known[follow.Servers].Adopt(p.Version, func() {
+	if p := s.Servers; p != nil && followers[follow.Servers] != nil {
+		followers[follow.Servers].Adopt(p.Version, func() {
 			n.Roster.Replace(now, p.Value)
 			n.Listed()
 		})
@@ -157,32 +157,33 @@
 	n.options.Log.Info("snapshot taken in", "instance", from, "ready", n.Ready())
 }
 
-// answerSnapshot answers another entry with what it lacks.
+// answerSnapshot answers a snapshot request of another entry.
 func (n *Node) answerSnapshot(_ context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
-	var asked lack
-	if err := json.Unmarshal(params, &asked); err != nil {
-		return nil, eris.Wrap(err, "decode what is lacking")
+	var req snapshotRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, eris.Wrap(err, "decode snapshot request")
 	}
 	s := &snapshot{Entries: append(n.Beacon.Known(), n.options.Self.Peers)}
-	n.capture(&asked, follow.Configuration, func(v store.Version) {
+	n.ifNewer(&req, follow.Configuration, func(v store.Version) {
 		if c := n.config.Load(); c != nil {
-			s.Configuration = &part[*Config]{v, c}
+			s.Configuration = &versioned[*Config]{v, c}
 		}
 	})
-	n.capture(&asked, follow.Servers, func(v store.Version) {
-		s.Servers = &part[[]roster.Server]{v, n.Roster.Servers(time.Now())}
+	n.ifNewer(&req, follow.Servers, func(v store.Version) {
+		s.Servers = &versioned[[]roster.Server]{v, n.Roster.Servers(time.Now())}
 	})
-	n.capture(&asked, follow.EvacuatedZones, func(v store.Version) {
-		s.EvacuatedZones = &part[[]id.Zone]{v, n.Roster.Evacuated()}
+	n.ifNewer(&req, follow.EvacuatedZones, func(v store.Version) {
+		s.EvacuatedZones = &versioned[[]id.Zone]{v, n.Roster.Evacuated()}
 	})
 	return s, nil
 }
 
-// capture calls read if this entry knows newer changes of a kind than the asker.
-func (n *Node) capture(asked *lack, kind follow.Kind, read func(store.Version)) {
-	known, lacking := asked.Known[kind]
+// ifNewer calls read with the version of a kind if the kind is requested and this
+// entry has a newer version of it.
+func (n *Node) ifNewer(req *snapshotRequest, kind follow.Kind, read func(store.Version)) {
+	known, requested := req.Known[kind]
 	f := n.options.Store[kind]
-	if f == nil || !lacking {
+	if f == nil || !requested {
 		return
 	}
 	f.Capture(func(v store.Version) {
@@ -192,7 +193,7 @@
 	})
 }
 
-// dialPeer connects to another entry that is alive.
+// dialPeer connects to another live entry.
 func (n *Node) dialPeer(ctx context.Context, to id.Instance) (net.Conn, error) {
 	alive := n.Beacon.Alive(time.Now())
 	i := slices.IndexFunc(alive, func(other beacon.Node) bool { return other.Instance == to })
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -16,17 +16,17 @@
 )
 
 type (
-	// awayFeed is a store that never answers.
-	awayFeed struct{}
+	// unavailableFeed is the feed of a store that is unavailable.
+	unavailableFeed struct{}
 
 	noSink struct{}
 )
 
-func (awayFeed) All(context.Context) ([]store.Object, store.Version, error) {
+func (unavailableFeed) All(context.Context) ([]store.Object, store.Version, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
-func (awayFeed) Changes(context.Context, store.Version, time.Duration) ([]store.Change, store.Version, error) {
+func (unavailableFeed) Changes(context.Context, store.Version, time.Duration) ([]store.Change, store.Version, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
@@ -38,24 +38,25 @@
 
 func (noSink) Resumed(time.Time, time.Duration) {}
 
-// awayGroup follows all kinds at a store that never answers.
-func awayGroup() follow.Group {
+// unavailableGroup follows all kinds at a store that is unavailable.
+func unavailableGroup() follow.Group {
 	g := make(follow.Group)
 	for _, kind := range []follow.Kind{follow.Servers, follow.Configuration, follow.EvacuatedZones} {
 		g[kind] = &follow.Follower{
-			Feed: awayFeed{}, Kind: kind, Sink: noSink{}, Scout: func() bool { return false }, Log: slog.New(slog.DiscardHandler),
+			Feed: unavailableFeed{}, Kind: kind, Sink: noSink{}, Scout: func() bool { return false }, Log: slog.New(slog.DiscardHandler),
 		}
 	}
 	return g
 }
 
-// An entry that starts while the store is away serves by what another one knows.
-func TestAnEntryStartsWhileTheStoreIsAway(t *testing.T) {
+// An entry that starts while the store is unavailable bootstraps from a peer and
+// becomes ready.
+func TestBootstrapFromPeerWhileStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 2)
 	start := func(name id.Instance) *node.Node {
-		g := awayGroup()
+		g := unavailableGroup()
 		n := newNode(t, func(o *node.Options) { o.Self.Instance, o.Store = name, g })
 		g.Run(ctx)
 		return n
@@ -86,7 +87,7 @@
 	is.Equal(second.Roster.Evacuated(), []id.Zone{"b-1"})
 	is.Equal(len(second.Roster.View().Members(svc)), 1) // neither evacuated nor leaving
 	is.Equal(second.Self().Changes[follow.Servers], store.Version(6))
-	// A change that only the first hears of reaches the second too.
+	// A change that only the first entry receives is relayed to the second.
 	group[follow.Servers].Adopt(9, func() { first.Roster.Remove(time.Now(), "i-1") })
 	for end := time.Now().Add(3 * time.Second); len(second.Roster.Servers(now)) > 2 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
