--- a/internal/reload/watch.go
+++ b/internal/reload/watch.go
@@ -1,10 +1,11 @@
-// Package reload takes in a settings file that changes while a process runs, with
-// a signal or without.
+// Package reload watches a settings file and applies its changes while the process
+// runs. Changes are detected by polling the file's modification time; a signal
+// triggers a reload at once.
 //
 // # Usage
 //
 //	w := reload.Watch[Settings]{Path: path, Load: Load, Signal: hangup, Log: log}
-//	go w.Run(ctx, inForce, func(before, now *Settings) { apply(now) })
+//	go w.Run(ctx, current, func(before, now *Settings) { apply(now) })
 package reload
 
 import (
@@ -15,56 +16,56 @@
 	"time"
 )
 
-// pollTime is how often the file is looked at, small against the seconds within
-// which changes must be in force.
-const pollTime = 500 * time.Millisecond
+// pollInterval is how often the file's modification time is checked. It is short
+// compared to the seconds within which changes must be active.
+const pollInterval = 500 * time.Millisecond
 
-// Watch looks at a settings file of type T.
+// Watch watches a file of settings of type T.
 type Watch[T any] struct {
-	// Path is the file.
+	// Path is the path of the file.
 	Path string
-	// Load reads and checks it.
+	// Load reads and validates the file.
 	Load func(path string) (*T, error)
-	// Signal asks for a look at the file even if it seems unchanged.
+	// Signal triggers a reload even if the modification time is unchanged.
 	Signal <-chan os.Signal
-	// Log gets a line for each file that is rejected.
+	// Log receives a line for each reload by signal and each rejected file.
 	Log *slog.Logger
 }
 
-// Run calls apply with the settings in force and each new ones that differ from
-// them, until ctx ends. A file that is missing or wrong leaves those in force.
-func (w *Watch[T]) Run(ctx context.Context, inForce *T, apply func(before, now *T)) {
-	tick := time.NewTicker(pollTime)
+// Run calls apply with the active and the new settings each time they differ, until
+// ctx ends. current holds the active settings at the start. If the file is missing
+// or invalid, the active settings are kept.
+func (w *Watch[T]) Run(ctx context.Context, current *T, apply func(before, now *T)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	last := w.changed()
+	last := w.modTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.Signal:
-			w.Log.Info("reload asked for", "path", w.Path)
+			w.Log.Info("reload requested", "path", w.Path)
 		case <-tick.C:
-			at := w.changed()
-			if at.Equal(last) {
+			modTime := w.modTime()
+			if modTime.Equal(last) {
 				continue
 			}
-			last = at
+			last = modTime
 		}
 		s, err := w.Load(w.Path)
 		if err != nil {
-			w.Log.Error("changed settings rejected, the old ones stay in force", "err", err)
+			w.Log.Error("changed settings rejected, previous settings remain active", "err", err)
 			continue
 		}
-		if !reflect.DeepEqual(s, inForce) {
-			apply(inForce, s)
-			inForce = s
+		if !reflect.DeepEqual(s, current) {
+			apply(current, s)
+			current = s
 		}
 	}
 }
 
-// changed returns when the file was changed last, the zero time if it can't be
-// told.
-func (w *Watch[T]) changed() time.Time {
+// modTime returns the file's modification time, the zero time if it can't be read.
+func (w *Watch[T]) modTime() time.Time {
 	info, err := os.Stat(w.Path)
 	if err != nil {
 		return time.Time{}
--- a/internal/reload/watch_test.go
+++ b/internal/reload/watch_test.go
@@ -14,7 +14,7 @@
 	"github.com/shallotpier/shallotpier/internal/reload"
 )
 
-// settings are the text of a file; "wrong" is rejected.
+// settings are the text of a file; load rejects the text "invalid".
 type settings struct{ text string }
 
 func load(path string) (*settings, error) {
@@ -22,25 +22,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if string(data) == "wrong" {
-		return nil, errors.New("wrong settings")
+	if string(data) == "invalid" {
+		return nil, errors.New("invalid settings")
 	}
 	return &settings{string(data)}, nil
 }
 
-func TestChangedSettings(t *testing.T) {
+func TestSettingsAreReloaded(t *testing.T) {
 	write := func(text string) func(string) error {
 		return func(path string) error { return os.WriteFile(path, []byte(text), 0o600) }
 	}
 	tests := map[string]struct {
 		change func(path string) error
 		signal bool
-		want   string // in force after it, empty if nothing is applied
+		want   string // settings that are applied, empty if none
 	}{
 		"changed without a signal": {write("new"), false, "new"},
 		"changed with a signal":    {write("new"), true, "new"},
 		"unchanged with a signal":  {func(string) error { return nil }, true, ""},
-		"wrong":                    {write("wrong"), true, ""},
+		"invalid":                  {write("invalid"), true, ""},
 		"removed":                  {os.Remove, true, ""},
 	}
 	for name, tt := range tests {
