--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -1,9 +1,9 @@
-// Package logread finds in an entry's log what became of a request, and what the
-// entry had come to believe shortly before.
+// Package logread extracts from an entry's log the outcome of a request, and the
+// state changes of the entry shortly before it.
 //
-// Lines are those of log/slog's text handler, one event each, as key=value pairs. Of
-// the text before the first pair, as collectors of logs put there, the last word
-// names the entry, so that a log may hold the lines of several.
+// It reads the format of log/slog's text handler: one event per line, as key=value
+// pairs. Log collectors may put text before the first pair; its last word is taken as
+// the name of the entry, so that a log may hold the lines of several entries.
 //
 // # Usage
 //
@@ -26,46 +26,47 @@
 )
 
 const (
-	// before is how long before a request's first line beliefs are looked for: an
-	// entry hears of a change within some seconds.
-	before = 10 * time.Second
-	// maxLine is the longest line that is read, in bytes.
+	// lookback is how long before a request's first line state changes are included:
+	// changes reach an entry within some seconds.
+	lookback = 10 * time.Second
+	// maxLine is the longest line that can be read, in bytes.
 	maxLine = 1 << 20
 )
 
 type (
 	// Line is one event of a log.
 	Line struct {
-		// At is when it was written.
+		// At is the time of the event.
 		At time.Time `json:"at"`
-		// Message says what happened.
+		// Message is the log message.
 		Message string `json:"message"`
-		// Text is the whole line, from its first pair on.
+		// Text is the line from its first pair on.
 		Text string `json:"text"`
-		// Source is what stands before it, empty in the log of one entry.
+		// Source is the name of the entry from the text before the first pair, empty
+		// if there is none.
 		Source string `json:"source,omitempty"`
 
 		fields map[string]string
 	}
 
-	// Story is what a log says of a request.
+	// Story is what a log contains about a request.
 	Story struct {
 		// Request is the request's id.
 		Request string `json:"request"`
-		// Code is its outcome.
+		// Code is its result code.
 		Code result.Code `json:"code"`
-		// Meaning says what the outcome and the choice of a server mean.
+		// Meaning explains the outcome and the choice of a server.
 		Meaning []string `json:"meaning"`
-		// Lines are the request's lines, in their order.
+		// Lines are the request's lines, in log order.
 		Lines []Line `json:"lines"`
-		// Beliefs are the lines of the time before on the servers that it was
-		// meant for, and on what concerns all requests.
-		Beliefs []Line `json:"beliefs"`
+		// StateChanges are the events shortly before the request and during it,
+		// about its servers and about state that concerns all requests.
+		StateChanges []Line `json:"beliefs"`
 	}
 )
 
-// general tells whether a message concerns all requests.
-func general(message string) bool {
+// concernsAll reports whether a message is about state that concerns all requests.
+func concernsAll(message string) bool {
 	switch message {
 	case "configuration in force", "configuration rejected", "evacuated zones changed", "store lost", "store regained",
 		"watch is behind", "zone out of reach", "zone reached again", "snapshot taken in", "leaving", "started", "settings in force":
@@ -75,27 +76,28 @@
 	}
 }
 
-// choice says what the reason of a choice means.
-func choice(reason string) string {
+// explainChoice explains the reason of a dispatch choice; it returns "" if the
+// reason is unknown.
+func explainChoice(reason string) string {
 	switch reason {
 	case "owner":
-		return "it went to the best ranked server for its object"
+		return "sent to the owner of its object, the highest ranked server"
 	case "familiar":
-		return "the best ranked server had no free slot; it went to one that knew its object"
+		return "the owner had no free slot; sent to a server that had recently served the object"
 	case "spill":
-		return "the best ranked server had a long queue; it went to the next with room"
+		return "the owner had a long queue; sent to the next ranked server with free capacity"
 	case "queue":
-		return "no server had room; it queued at the best ranked one"
+		return "no server had free capacity; queued at the owner"
 	case "full":
-		return "the best ranked server's queue was too long, or too slow for the request's time, and no server had room"
+		return "the owner's queue was too long, or too slow for the request's deadline, and no server had free capacity"
 	case "noServer":
-		return "no server could get it: none is known, all are out, cold beyond their rate, or in regions that the route doesn't allow"
+		return "no server was eligible: none is known, all are unhealthy, over their slow start rate, or in regions that the route doesn't allow"
 	default:
 		return ""
 	}
 }
 
-// Parse reads a line. It returns false for one that is no event.
+// Parse parses a line. It returns false if the line is not an event.
 func Parse(text string) (Line, bool) {
 	start := strings.Index(text, "time=")
 	if start < 0 {
@@ -122,7 +124,7 @@
 	return l, true
 }
 
-// cutValue returns the value at the beginning of text, and what follows it.
+// cutValue returns the value at the beginning of text, unquoted, and the rest.
 func cutValue(text string) (value, rest string) {
 	if strings.HasPrefix(text, `"`) {
 		if quoted, err := strconv.QuotedPrefix(text); err == nil {
@@ -134,7 +136,8 @@
 	return value, rest
 }
 
-// Find reads a log for a request. It returns an error if no line is the request's.
+// Find extracts the lines about a request from a log. It returns an error if there
+// are none, or if the log can't be read.
 func Find(log io.Reader, request string) (*Story, error) {
 	s := &Story{Request: request}
 	var others []Line
@@ -156,24 +159,24 @@
 		return nil, eris.Wrap(err, "read log")
 	}
 	if len(s.Lines) == 0 {
-		return nil, eris.Errorf("no line of request %q", request)
+		return nil, eris.Errorf("no line for request %q", request)
 	}
 	delete(servers, "")
-	from, to := s.Lines[0].At.Add(-before), s.Lines[len(s.Lines)-1].At
+	from, to := s.Lines[0].At.Add(-lookback), s.Lines[len(s.Lines)-1].At
 	for _, l := range others {
-		if l.Source == s.Lines[0].Source && !l.At.Before(from) && !l.At.After(to) && (servers[l.fields["server"]] || general(l.Message)) {
-			s.Beliefs = append(s.Beliefs, l)
+		if l.Source == s.Lines[0].Source && !l.At.Before(from) && !l.At.After(to) && (servers[l.fields["server"]] || concernsAll(l.Message)) {
+			s.StateChanges = append(s.StateChanges, l)
 		}
 	}
 	s.explain()
 	return s, nil
 }
 
-// explain says what the request's own line means.
+// explain derives Code and Meaning from the final line of the request.
 func (s *Story) explain() {
 	i := slices.IndexFunc(s.Lines, func(l Line) bool { return l.Message == "request" })
 	if i < 0 {
-		s.Meaning = []string{"the request's own line is missing: it was under way when the log ended, or the line was dropped"}
+		s.Meaning = []string{"the final line of the request is missing: the request was in progress when the log ended, or the line was dropped"}
 		return
 	}
 	f := s.Lines[i].fields
@@ -183,32 +186,32 @@
 			s.Meaning = append(s.Meaning, fmt.Sprintf("code %d, %s: %s", code, info.Name, info.Meaning))
 		}
 	}
-	if text := choice(f["choice"]); text != "" {
+	if text := explainChoice(f["choice"]); text != "" {
 		s.Meaning = append(s.Meaning, text)
 	}
 	if f["sends"] == "0" && f["status"] != "200" {
 		s.Meaning = append(s.Meaning, "it reached no server")
 	}
 	if f["unconnected"] != "" && f["unconnected"] != "0" {
-		s.Meaning = append(s.Meaning, f["unconnected"]+" servers took no connection")
+		s.Meaning = append(s.Meaning, "servers that accepted no connection: "+f["unconnected"])
 	}
-	if age, err := time.ParseDuration(f["storeAge"]); err == nil && age > before {
-		s.Meaning = append(s.Meaning, fmt.Sprintf("the store had not answered the entry for %v", age.Round(time.Millisecond)))
+	if age, err := time.ParseDuration(f["storeAge"]); err == nil && age > lookback {
+		s.Meaning = append(s.Meaning, fmt.Sprintf("the last answer that the entry had received from the store was %v old", age.Round(time.Millisecond)))
 	}
 }
 
-// WriteText writes the story for people.
+// WriteText writes the story as text for operators.
 func (s *Story) WriteText(w io.Writer) error {
 	lines := []string{"request " + s.Request}
 	for _, m := range s.Meaning {
 		lines = append(lines, "  "+m)
 	}
-	lines = append(lines, "its lines:")
+	lines = append(lines, "lines of the request:")
 	for _, l := range s.Lines {
 		lines = append(lines, "  "+l.Text)
 	}
-	lines = append(lines, "what the entry came to believe before:")
-	for _, l := range s.Beliefs {
+	lines = append(lines, "state changes of the entry before it:")
+	for _, l := range s.StateChanges {
 		lines = append(lines, "  "+l.Text)
 	}
 	_, err := io.WriteString(w, strings.Join(lines, "\n")+"\n")
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -23,27 +23,27 @@
 time=2026-02-24T07:26:14.000Z level=INFO msg="store regained" kind=servers
 `
 
-func TestFind(t *testing.T) {
+func TestFindExtractsRequestAndStateChanges(t *testing.T) {
 	is := is.New(t)
 	s, err := logread.Find(strings.NewReader(log), "ab")
 	is.NoErr(err)
 	is.Equal(s.Code, result.NoCapacity)
 	is.Equal(len(s.Lines), 2)
-	var beliefs []string
-	for _, l := range s.Beliefs {
-		beliefs = append(beliefs, l.Message)
+	var changes []string
+	for _, l := range s.StateChanges {
+		changes = append(changes, l.Message)
 	}
-	is.Equal(beliefs, []string{"store lost", "backend server gone"}) // neither earlier, later nor of other servers
+	is.Equal(changes, []string{"store lost", "backend server gone"}) // without those that are earlier, later, or about other servers or entries
 	meaning := strings.Join(s.Meaning, "\n")
-	for _, part := range []string{"code 2010", "no server had room", "it reached no server", "1 servers took no connection", "11.5s"} {
-		is.True(strings.Contains(meaning, part)) // what the line means
+	for _, part := range []string{"code 2010", "no server had free capacity", "it reached no server", "servers that accepted no connection: 1", "11.5s"} {
+		is.True(strings.Contains(meaning, part)) // the meaning contains part
 	}
 	var out strings.Builder
 	is.NoErr(s.WriteText(&out))
 	is.True(strings.Contains(out.String(), "connection refused"))
 }
 
-func TestFindNothing(t *testing.T) {
+func TestFindFailsForUnknownRequest(t *testing.T) {
 	_, err := logread.Find(strings.NewReader(log), "zz")
 	is.New(t).True(err != nil)
 }
