--- a/internal/logpipe/writer.go
+++ b/internal/logpipe/writer.go
@@ -1,6 +1,5 @@
-// Package logpipe writes log lines without ever making the writer of a line
-// wait: lines go through a bounded queue, and what doesn't fit is counted and
-// dropped.
+// Package logpipe writes log lines asynchronously, so that logging never blocks:
+// lines go through a bounded queue, and lines that don't fit are dropped and counted.
 //
 // # Usage
 //
@@ -17,10 +16,11 @@
 	"sync/atomic"
 )
 
-// flushBytes is how much is written at once at most, a pipe's usual capacity.
-const flushBytes = 64 << 10
+// maxBatch is the size in bytes from which on no further lines are added to one
+// write: the usual capacity of a pipe.
+const maxBatch = 64 << 10
 
-// Writer queues lines for another writer. It is safe for concurrent use.
+// Writer queues lines for an underlying writer. It is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -29,7 +29,8 @@
 	dropped atomic.Uint64
 }
 
-// New returns a Writer to out that queues at most limit lines.
+// New returns a Writer to out with a queue of limit lines. It starts a goroutine,
+// which Close stops.
 func New(out io.Writer, limit int) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, limit), done: make(chan struct{})}
 	go w.run()
@@ -46,11 +47,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer. No line may be written after
-// it.
+// Close writes the queued lines and stops the writer. Write must not be called after
+// Close.
 func (w *Writer) Close() error {
 	w.close.Do(func() { close(w.lines) })
 	<-w.done
@@ -65,19 +66,19 @@
 	)
 	for line := range w.lines {
 		buf = append(buf[:0], line...)
-		buf = w.gather(buf)
+		buf = w.appendQueued(buf)
 		if n := w.dropped.Load(); n != reported {
 			buf = fmt.Appendf(buf, "level=WARN msg=\"log lines dropped\" lines=%d total=%d\n", n-reported, n)
 			reported = n
 		}
-		// There is nowhere to report that the log can't be written.
+		// The error is ignored: there is no other place to report it.
 		_, _ = w.out.Write(buf)
 	}
 }
 
-// gather appends lines that are already queued.
-func (w *Writer) gather(buf []byte) []byte {
-	for len(buf) < flushBytes {
+// appendQueued appends lines that are already queued.
+func (w *Writer) appendQueued(buf []byte) []byte {
+	for len(buf) < maxBatch {
 		select {
 		case line, ok := <-w.lines:
 			if !ok {
--- a/internal/logpipe/writer_test.go
+++ b/internal/logpipe/writer_test.go
@@ -28,7 +28,7 @@
 	is.Equal(w.Dropped(), uint64(0))
 }
 
-func TestAReaderThatDoesNotReadBlocksNobody(t *testing.T) {
+func TestStalledReaderDoesNotBlockWrite(t *testing.T) {
 	is := is.New(t)
 	r, pipe := io.Pipe()
 	w := logpipe.New(pipe, 16)
@@ -37,7 +37,7 @@
 		_, err := io.WriteString(w, line)
 		is.NoErr(err)
 	}
-	is.True(w.Dropped() >= 1000-16-64) // 64 KiB may have been taken for one write
+	is.True(w.Dropped() >= 1000-16-64) // 64 KiB may be buffered for one write
 	var out bytes.Buffer
 	ended := make(chan struct{})
 	go func() {
@@ -50,7 +50,7 @@
 	is.True(bytes.Contains(out.Bytes(), []byte("log lines dropped")))
 }
 
-// BenchmarkStalledReader shows the cost of a line that nobody reads.
+// BenchmarkStalledReader measures Write while the queue is full.
 func BenchmarkStalledReader(b *testing.B) {
 	_, pipe := io.Pipe()
 	w := logpipe.New(pipe, 16)
