--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,4 @@
-// Package sockopt sets socket options that the standard library has no field for.
+// Package sockopt sets socket options that the standard library does not support.
 //
 // # Usage
 //
--- a/internal/sockopt/unacked_other.go
+++ b/internal/sockopt/unacked_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// LimitUnacked returns nil: the option is Linux's.
+// LimitUnacked returns nil: the option is available only on Linux.
 func LimitUnacked(time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return nil
 }
