--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -1,5 +1,5 @@
-// Package logs writes one line for each event with log/slog, and brings
-// go-zero's own log lines into the same stream.
+// Package logs creates slog loggers that write one line per event, and redirects the
+// log lines of go-zero and the standard library to them.
 //
 // # Usage
 //
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -13,11 +13,11 @@
 	"github.com/shallotpier/shallotpier/internal/settings"
 )
 
-// Writer hands go-zero's log lines to a slog.Logger.
+// Writer is a logx.Writer that forwards go-zero's log lines to a slog.Logger.
 type Writer struct{ log *slog.Logger }
 
-// New returns a logger that writes lines of the form and from the level that
-// the settings name.
+// New returns a logger that writes lines in the format and from the level given in
+// the settings.
 func New(w io.Writer, s settings.Log) *slog.Logger {
 	options := slog.HandlerOptions{Level: s.Level.Slog(), ReplaceAttr: logpipe.PlainError}
 	if s.Format == settings.JSON {
@@ -26,13 +26,13 @@
 	return slog.New(slog.NewTextHandler(w, &options))
 }
 
-// Adopt brings the lines of go-zero and of the standard library's log into log,
-// for the whole process. net/http writes to the latter what it finds odd on a
-// connection; those lines are warnings. Adopt must run before any go-zero server
-// is set up.
+// Adopt redirects the lines of go-zero and of the standard library's log package to
+// log, for the whole process. net/http logs protocol errors of connections to the
+// latter; those lines are written as warnings. Adopt must be called before any
+// go-zero server is created.
 func Adopt(log *slog.Logger) error {
 	if err := logx.SetUp(logx.LogConf{Mode: "console", Encoding: "plain", Level: "info"}); err != nil {
-		return eris.Wrap(err, "set up go-zero's log")
+		return eris.Wrap(err, "set up go-zero logging")
 	}
 	logx.DisableStat()
 	logx.SetWriter(NewWriter(log))
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// NewWriter returns a writer of go-zero log lines to log.
+// NewWriter returns a Writer that forwards to log.
 func NewWriter(log *slog.Logger) *Writer { return &Writer{log: log.With("library", "goZero")} }
 
 // Alert writes a line at level error.
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -14,19 +14,19 @@
 	"github.com/shallotpier/shallotpier/internal/settings"
 )
 
-func TestAdoptBringsGoZerosLinesIn(t *testing.T) {
+func TestAdoptRedirectsGoZeroLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(logs.Adopt(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
 	logx.Infow("route\nadded", logx.Field("path", "/a"))
 	logx.Debug("not shown")
-	is.Equal(strings.Count(out.String(), "\n"), 1) // one line an event
+	is.Equal(strings.Count(out.String(), "\n"), 1) // one line per event
 	for _, want := range []string{`level=INFO`, `msg="route\nadded"`, "library=goZero", "path=/a"} {
 		is.True(strings.Contains(out.String(), want))
 	}
 }
 
-func TestAdoptBringsTheStandardLogIn(t *testing.T) {
+func TestAdoptRedirectsStandardLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(logs.Adopt(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
@@ -42,7 +42,7 @@
 	is.True(strings.Contains(out.String(), `"msg":"late","ageMs":4`))
 }
 
-func TestErrorsAreWrittenWithoutTheirStack(t *testing.T) {
+func TestErrorsAreWrittenWithoutStackTrace(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue}).Error("stopped", "error", eris.New("no port"))
