--- a/cmd/shallotpier-entry/main.go
+++ b/cmd/shallotpier-entry/main.go
@@ -1,6 +1,7 @@
-// Command shallotpier-entry is an entry instance on the users' platform. It reads
-// the settings file that the environment variable SHALLOTPIER_SETTINGS names,
-// logs to standard output, and stops as planned at SIGTERM.
+// Command shallotpier-entry runs an entry instance on the users' platform. It reads
+// the settings file at the path in the environment variable SHALLOTPIER_SETTINGS,
+// reloads it when it changes or on SIGHUP, logs to standard output, and shuts down
+// gracefully on SIGTERM.
 package main
 
 import (
@@ -19,10 +20,11 @@
 )
 
 const (
-	// queuedLines is how many log lines may wait for a slow reader.
-	queuedLines = 2048
-	// gcPercent lets the heap grow by half between two collections: an entry
-	// has little memory and collects in well under a millisecond.
+	// logQueueLines is how many log lines are queued while the reader of standard
+	// output is slow; further lines are dropped.
+	logQueueLines = 2048
+	// gcPercent lets the heap grow by half between two garbage collections: an
+	// entry has little memory, and a collection takes well under a millisecond.
 	gcPercent = 50
 )
 
@@ -32,7 +34,7 @@
 
 func run() int {
 	debug.SetGCPercent(gcPercent)
-	out := logpipe.New(os.Stdout, queuedLines)
+	out := logpipe.New(os.Stdout, logQueueLines)
 	defer func() { _ = out.Close() }()
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: logpipe.PlainError}))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
