--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -13,67 +13,69 @@
 )
 
 type (
-	// Request is what decisions may know of a request.
+	// Request holds the properties of a request that admission may depend on.
 	Request struct {
-		// Service is the service's file as in force when the request came.
+		// Service is the service file that was active when the request arrived.
 		Service *service.File
-		// Class is the request's class in it.
+		// Class is the request's class in Service.
 		Class *service.Class
 		// Caller is the caller's address.
 		Caller netip.Addr
-		// Deadline is when the request must have ended.
+		// Deadline is the time by which the request must be complete.
 		Deadline time.Time
-		// Body is the announced size of the body, -1 if it is not announced.
+		// Body is the declared size of the body, -1 if none is declared.
 		Body unit.Bytes
-		// Tried lists the servers that earlier sends of the request went to.
+		// Tried lists the servers that earlier attempts were sent to.
 		Tried []id.Server
 	}
 
 	// Permit is one slot on one backend server.
 	Permit interface {
-		// Server returns the backend server, which must not be changed.
+		// Server returns the backend server. It must not be modified.
 		Server() *service.Server
-		// Release gives the slot back. Later calls do nothing.
+		// Release returns the slot. Only the first call has an effect.
 		Release(Outcome)
 	}
 
-	// Paced is a Permit whose request body must be sent at a limited rate.
+	// Paced is a Permit whose request body is rate limited.
 	Paced interface {
 		Permit
-		// Next returns how many of the wanted bytes may be sent now; if none,
-		// wait tells when to ask again.
+		// Next returns how many of the wanted bytes may be sent now. If n is
+		// 0, the sender calls it again after wait.
 		Next(now time.Time, want int) (n int, wait time.Duration)
 	}
 
-	// Outcome is what a send showed of its backend server.
+	// Outcome is the result of one attempt, as observed by the entry.
 	Outcome struct {
-		// Code is the result code of the send.
+		// Code is the result code of the attempt.
 		Code result.Code
-		// Latency is the time to the first byte of the answer; 0 if none came.
+		// Latency is the time to the first byte of the response, 0 if there
+		// was none.
 		Latency time.Duration
-		// Running is the time after which the backend server can't still be
-		// running the request; the zero time if it is not. The slot stays in
-		// use until then.
+		// Running is the latest time until which the backend server may still
+		// run the request; the zero time if it no longer does. The slot stays
+		// in use until then.
 		Running time.Time
 	}
 
-	// Admitter permits sends. It is safe for concurrent use.
+	// Admitter grants permits. It is safe for concurrent use.
 	Admitter interface {
-		// Admit returns a permit or a *RefusedError. It may wait for a slot,
-		// but not past the request's deadline or the end of ctx.
+		// Admit returns a permit or a *RefusedError. It may wait for a slot
+		// until the request's deadline or until ctx is done.
 		Admit(ctx context.Context, req *Request) (Permit, error)
 	}
 
-	// RefusedError says why a request is not permitted. It was not run.
+	// RefusedError reports why a request was not admitted. The request was
+	// not sent to a backend server.
 	RefusedError struct {
-		// Code is the numbered reason.
+		// Code is the result code for the caller.
 		Code result.Code
-		// RetryAfter is when coming back makes sense.
+		// RetryAfter is the time after which the caller should retry.
 		RetryAfter time.Duration
 	}
 )
 
-// Error formats the refusal with its code.
+// Error implements error.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused with code %d, retry after %s", e.Code, e.RetryAfter)
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,10 +1,12 @@
-// Package admission is the seam between the request path and the decisions.
+// Package admission defines the interface between the request path and
+// admission control.
 //
-// The request path asks an [Admitter] for a [Permit] before each send of a
-// request to a backend server. A permit is one slot on one backend server; it
-// is held until the slot is really free again and then released exactly once,
-// with what was seen. A request that can't be permitted gets a [RefusedError]
-// at once, with the result code and the time after which to come back.
+// The request path obtains a [Permit] from an [Admitter] before each attempt to
+// send a request to a backend server. A permit represents one slot on one
+// backend server. It is held until the server no longer runs the request and is
+// then released exactly once, with the [Outcome] of the attempt. A request that
+// can't be admitted gets a [RefusedError] without further delay, with the
+// result code and the time after which to retry.
 //
 // # Usage
 //
