--- a/internal/admission/local/admitter.go
+++ b/internal/admission/local/admitter.go
@@ -11,22 +11,22 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Admitter permits sends within a fixed part of the slots. Its exported fields
-// are set before its first use.
+// Admitter admits requests within a static share of the slots. Its exported
+// fields must be set before its first use.
 type Admitter struct {
-	// Pool hands out the slots of this entry.
+	// Pool allocates the slots of this entry.
 	Pool pool.Pool
-	// Entries is the number of entries in the fixed list.
+	// Entries is the number of configured entries.
 	Entries int
-	// Index is this entry's place in the list, counted from 0.
+	// Index is this entry's zero-based position among them.
 	Index int
 
 	mu    sync.Mutex
 	known map[pool.Key]bool
 }
 
-// Configure sets the slots by the service files now in force. A server that
-// no file names gets no new requests.
+// Configure sets the slots from the active service files. A server that is in
+// none of them gets no new requests.
 func (a *Admitter) Configure(files []*service.File) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/admission/local/admitter_test.go
+++ b/internal/admission/local/admitter_test.go
@@ -58,23 +58,23 @@
 		held    bool
 		want    result.Code
 	}{
-		"free":            {server: server, within: time.Second},
-		"tried":           {server: server, within: time.Second, tried: []id.Server{"a"}, want: result.NoServer},
-		"leaving":         {server: leaving, within: time.Second, want: result.NoServer},
-		"late":            {server: server, within: 0, want: result.DeadlinePassed},
-		"no slot":         {server: service.Server{Name: "a", Connections: 1}, within: time.Second, waiting: 1, want: result.NoCapacity},
-		"no connection":   {server: service.Server{Name: "a", Slots: 1}, within: time.Second, waiting: 1, want: result.NoCapacity},
-		"queue full":      {server: server, within: time.Second, held: true, want: result.NoCapacity},
-		"not in time":     {server: server, within: time.Second, held: true, waiting: 1, want: result.NoCapacity},
-		"served in time":  {server: server, within: time.Minute, held: true, waiting: 1},
-		"service unknown": {server: service.Server{}, within: time.Second, want: result.NoServer},
+		"free slot":               {server: server, within: time.Second},
+		"already tried":           {server: server, within: time.Second, tried: []id.Server{"a"}, want: result.NoServer},
+		"server leaving":          {server: leaving, within: time.Second, want: result.NoServer},
+		"deadline passed":         {server: server, within: 0, want: result.DeadlinePassed},
+		"no slots":                {server: service.Server{Name: "a", Connections: 1}, within: time.Second, waiting: 1, want: result.NoCapacity},
+		"no connections":          {server: service.Server{Name: "a", Slots: 1}, within: time.Second, waiting: 1, want: result.NoCapacity},
+		"queue full":              {server: server, within: time.Second, held: true, want: result.NoCapacity},
+		"slot free too late":      {server: server, within: time.Second, held: true, waiting: 1, want: result.NoCapacity},
+		"slot free in time":       {server: server, within: time.Minute, held: true, waiting: 1},
+		"service without servers": {server: service.Server{}, within: time.Second, want: result.NoServer},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := file(tt.server)
-				if name == "service unknown" {
+				if name == "service without servers" {
 					f.Servers = nil
 				}
 				a := admitter(f, 1, 0, tt.waiting)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestAdmitterKeepsRunningSlot(t *testing.T) {
+func TestAdmitterKeepsSlotWhileServerMayRunRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := file(service.Server{Name: "a", Slots: 1, Connections: 1})
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestAdmitterGivesUpInTime(t *testing.T) {
+func TestAdmitterRefusesWaitingRequestAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := file(service.Server{Name: "a", Slots: 1, Connections: 1})
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestAdmittersTogetherStayWithinSlots(t *testing.T) {
+func TestSharesOfAllEntriesSumToSlots(t *testing.T) {
 	is := is.New(t)
 	f := file(service.Server{Name: "a", Slots: 6, Connections: 400})
 	admitted := 0
@@ -169,7 +169,7 @@
 	is.Equal(admitted, 6)
 }
 
-func TestAdmitterConfigure(t *testing.T) {
+func TestConfigureClosesAndReopensServers(t *testing.T) {
 	is := is.New(t)
 	f := file(service.Server{Name: "a", Slots: 1, Connections: 1})
 	a := admitter(f, 1, 0, 0)
@@ -181,7 +181,7 @@
 	is.NoErr(err)
 }
 
-func TestAdmitterRefusesAtOnceWhatCannotBeInTime(t *testing.T) {
+func TestAdmitterRefusesImmediatelyIfDeadlineCannotBeMet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := file(service.Server{Name: "a", Slots: 1, Connections: 1})
--- a/internal/admission/local/doc.go
+++ b/internal/admission/local/doc.go
@@ -1,11 +1,11 @@
-// Package local permits sends within a fixed part of each backend server's
+// Package local admits requests within a static share of each backend server's
 // slots.
 //
-// An [Admitter] divides the slots by split.Share over the fixed list of
-// entries. It needs no other entry and no store, and never moves a slot: what
-// one entry leaves unused no other can use, and the part of a lost entry stays
-// unused. It is the baseline of the slot shares, and what a deployment of one
-// entry needs.
+// An [Admitter] divides the slots with split.Share among the configured
+// entries. It communicates with neither other entries nor the store and never
+// moves a slot: slots that one entry leaves unused are not available to
+// another, and the share of a failed entry stays unused. It serves as the
+// baseline for dynamic slot allocation and for deployments of a single entry.
 //
 // # Usage
 //
