--- a/internal/admission/pool/bench_test.go
+++ b/internal/admission/pool/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // BenchmarkAdmit admits and releases requests of one service with ten servers,
-// by one goroutine and by all processors.
+// from one goroutine and from GOMAXPROCS goroutines in parallel.
 func BenchmarkAdmit(b *testing.B) {
 	b.Run("one", func(b *testing.B) {
 		p, req := manyServers()
--- a/internal/admission/pool/doc.go
+++ b/internal/admission/pool/doc.go
@@ -1,15 +1,16 @@
-// Package pool hands out the slots that one entry holds, and lets requests
-// wait for them in the order of their arrival.
+// Package pool allocates the slots that one entry holds to requests and queues
+// requests, first in, first out, while no slot is free.
 //
 // A [Pool] has a gate.Gate for each backend server. In the common case a
-// request takes a slot at the first server, in the order that placement gave,
-// which has one: no lock, no other entry asked. When none has, it joins its
-// service's queue. A slot that comes free goes to the request that has waited
-// longest among those that may use its server.
+// request takes a slot of the first server, in the order given by placement,
+// that has a free one; this takes no lock and no communication with other
+// entries. If no server has a free slot, the request joins the queue of its
+// service. A slot that becomes free goes to the longest waiting request that
+// may use the server.
 //
-// A request waits only while it can still be served in time: by the queue's
-// length, the mean time that slots are held, and its deadline. When it can't,
-// it is refused at once with the time to come back.
+// A request waits only while it is expected to meet its deadline, given the
+// length of the queue and the mean time for which slots are held. Otherwise it
+// is refused without waiting, with the time after which to retry.
 //
 // # Usage
 //
--- a/internal/admission/pool/pool.go
+++ b/internal/admission/pool/pool.go
@@ -17,30 +17,33 @@
 
 const (
 	minRetryAfter = time.Second
-	meanWeight    = 16
-	cacheLine     = 64
+	// meanWeight is the inverse weight of a new value in the moving average
+	// of the time for which slots are held.
+	meanWeight = 16
+	cacheLine  = 64 // bytes
 )
 
 type (
-	// Key names a backend server.
+	// Key identifies a backend server.
 	Key struct {
-		// Service is the service it belongs to.
+		// Service is the service that the server belongs to.
 		Service id.Service
-		// Server is its name within the service.
+		// Server is the name of the server within the service.
 		Server id.Server
 	}
 
-	// Pool hands out the slots of one entry. Its exported fields are set
+	// Pool allocates the slots of one entry. Its exported fields must be set
 	// before its first use. It is safe for concurrent use and must not be
 	// copied.
 	Pool struct {
-		// Order returns the servers that may run a request, the best first.
+		// Order returns the servers that may run a request, most preferred
+		// first.
 		Order func(*admission.Request) []*service.Server
-		// MaxWaiting bounds the requests that wait for one service.
+		// MaxWaiting is the maximum number of queued requests of one service.
 		MaxWaiting int
-		// Starved, if set, is told that a request has begun to wait; further
-		// slots may then come by Offer.
-		Starved func(*admission.Request)
+		// OnWait, if set, is called when a request has joined the queue, so
+		// that more slots can be requested and added with Offer.
+		OnWait func(*admission.Request)
 
 		once  sync.Once
 		start time.Time
@@ -54,16 +57,16 @@
 	}
 )
 
-// Now returns the time on the clock of the pool's gates.
+// Now returns the current time on the clock of the pool's gates.
 func (p *Pool) Now() time.Duration { return p.At(time.Now()) }
 
-// At returns a time on the clock of the pool's gates.
+// At converts t to the clock of the pool's gates.
 func (p *Pool) At(t time.Time) time.Duration {
 	p.once.Do(func() { p.start = time.Now().Add(-time.Second) })
 	return t.Sub(p.start)
 }
 
-// Set returns the gate of a server and adds it if it is new.
+// Set returns the gate of a server, creating it if there is none.
 func (p *Pool) Set(key Key) *gate.Gate {
 	if g := p.Gate(key); g != nil {
 		return g
@@ -96,7 +99,7 @@
 	return t.gates[key]
 }
 
-// Waiting returns how many requests wait for a service.
+// Waiting returns the number of queued requests of a service.
 func (p *Pool) Waiting(svc id.Service) int {
 	q := p.queue(svc)
 	if q == nil {
@@ -105,8 +108,8 @@
 	return int(q.waiting.Load())
 }
 
-// Offer hands free slots of a server to waiting requests. It is called after
-// a gate's limit has risen.
+// Offer assigns free slots of a server to queued requests. It must be called
+// after the limit of a gate has been raised.
 func (p *Pool) Offer(key Key) {
 	q, g := p.queue(key.Service), p.Gate(key)
 	if q != nil && g != nil {
@@ -126,7 +129,7 @@
 	}
 	if q.waiting.Load() == 0 {
 		if s, g := p.take(req, servers, p.At(now)); s != nil {
-			return &permit{pool: p, queue: q, gate: g, server: s, since: now}, nil
+			return &permit{pool: p, queue: q, gate: g, server: s, acquired: now}, nil
 		}
 	}
 	return p.wait(ctx, req, q, servers)
@@ -147,16 +150,16 @@
 }
 
 func (p *Pool) wait(ctx context.Context, req *admission.Request, q *queue, servers []*service.Server) (admission.Permit, error) {
-	limit := req.Deadline.Add(-q.hold())
-	if wait, ok := p.expect(req, q, servers); !ok || time.Now().Add(wait).After(limit) {
+	limit := req.Deadline.Add(-q.meanHoldTime())
+	if wait, ok := p.estimateWait(req, q, servers); !ok || time.Now().Add(wait).After(limit) {
 		return nil, refusal(wait)
 	}
 	w := &waiter{req: req, servers: servers, ready: make(chan *permit, 1)}
-	if !q.join(p, w) {
-		return nil, refusal(q.hold())
+	if !q.enqueue(p, w) {
+		return nil, refusal(q.meanHoldTime())
 	}
-	if p.Starved != nil {
-		p.Starved(req)
+	if p.OnWait != nil {
+		p.OnWait(req)
 	}
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
@@ -166,15 +169,15 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	if !q.leave(w) {
+	if !q.cancel(w) {
 		return <-w.ready, nil
 	}
-	return nil, refusal(q.hold())
+	return nil, refusal(q.meanHoldTime())
 }
 
-// expect returns how long a request is likely to wait. It is false if the
-// request has no slot to wait for.
-func (p *Pool) expect(req *admission.Request, q *queue, servers []*service.Server) (time.Duration, bool) {
+// estimateWait estimates how long a request has to wait for a slot. It returns
+// false if no server that may run the request has slots.
+func (p *Pool) estimateWait(req *admission.Request, q *queue, servers []*service.Server) (time.Duration, bool) {
 	limit, candidates := 0, 0
 	for _, s := range servers {
 		if !usable(s, req.Tried) {
@@ -186,13 +189,13 @@
 			candidates++
 		}
 	}
-	if p.Starved != nil {
+	if p.OnWait != nil {
 		limit = max(limit, candidates)
 	}
 	if limit == 0 {
 		return 0, false
 	}
-	return q.hold() * time.Duration(q.waiting.Load()) / time.Duration(limit), true
+	return q.meanHoldTime() * time.Duration(q.waiting.Load()) / time.Duration(limit), true
 }
 
 func (p *Pool) queue(svc id.Service) *queue {
--- a/internal/admission/pool/pool_test.go
+++ b/internal/admission/pool/pool_test.go
@@ -15,7 +15,8 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// newPool has servers with one slot each.
+// newPool returns a pool and a service file with the given number of servers of
+// one slot each.
 func newPool(servers int) (*pool.Pool, *service.File) {
 	f := &service.File{Service: "registry"}
 	p := &pool.Pool{MaxWaiting: 10}
@@ -34,7 +35,7 @@
 	return p, f
 }
 
-func TestPoolTakesTheFirstFree(t *testing.T) {
+func TestAdmitTakesFirstFreeServer(t *testing.T) {
 	is := is.New(t)
 	p, f := newPool(3)
 	req := &admission.Request{Service: f, Deadline: time.Now().Add(time.Hour)}
@@ -47,7 +48,7 @@
 	is.Equal(p.Waiting("other"), 0)
 }
 
-func TestPoolWaitEndsWithItsContext(t *testing.T) {
+func TestAdmitStopsWaitingWhenContextIsCancelled(t *testing.T) {
 	is := is.New(t)
 	p, f := newPool(1)
 	req := &admission.Request{Service: f, Deadline: time.Now().Add(time.Hour)}
--- a/internal/admission/pool/queue.go
+++ b/internal/admission/pool/queue.go
@@ -13,14 +13,14 @@
 )
 
 type (
-	// queue holds the requests that wait for one service.
+	// queue is the queue of the requests of one service that wait for a slot.
 	queue struct {
 		waiting atomic.Int32
-		// Every request reads waiting and writes mean: they are kept on
-		// different cache lines.
-		_    [cacheLine]byte
-		mean atomic.Int64
-		_    [cacheLine]byte
+		// Every request reads waiting and writes meanHold. The padding keeps them
+		// on different cache lines.
+		_        [cacheLine]byte
+		meanHold atomic.Int64
+		_        [cacheLine]byte
 
 		mu      sync.Mutex
 		waiters []*waiter
@@ -33,18 +33,18 @@
 	}
 
 	permit struct {
-		pool   *Pool
-		queue  *queue
-		gate   *gate.Gate
-		server *service.Server
-		since  time.Time
-		done   atomic.Bool
+		pool     *Pool
+		queue    *queue
+		gate     *gate.Gate
+		server   *service.Server
+		acquired time.Time
+		released atomic.Bool
 	}
 )
 
-// join adds a waiter, or serves it if a slot has come free since it looked.
-// It is false if the queue is full.
-func (q *queue) join(p *Pool, w *waiter) bool {
+// enqueue appends a waiter, or assigns it a slot if one became free since the
+// caller's last attempt. It returns false if the queue is full.
+func (q *queue) enqueue(p *Pool, w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiters) >= p.MaxWaiting {
@@ -54,13 +54,13 @@
 	q.waiting.Add(1)
 	if s, g := p.take(w.req, w.servers, p.Now()); s != nil {
 		q.remove(len(q.waiters) - 1)
-		w.ready <- &permit{pool: p, queue: q, gate: g, server: s, since: time.Now()}
+		w.ready <- &permit{pool: p, queue: q, gate: g, server: s, acquired: time.Now()}
 	}
 	return true
 }
 
-// leave takes a waiter out. It is false if the waiter has been served.
-func (q *queue) leave(w *waiter) bool {
+// cancel removes a waiter. It returns false if the waiter already has a slot.
+func (q *queue) cancel(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	i := slices.Index(q.waiters, w)
@@ -71,7 +71,7 @@
 	return true
 }
 
-// offer hands free slots of a server to the waiters that may use them.
+// offer assigns free slots of a server to the waiters that may use them.
 func (q *queue) offer(p *Pool, server id.Server, g *gate.Gate) {
 	if q.waiting.Load() == 0 {
 		return
@@ -80,7 +80,7 @@
 	defer q.mu.Unlock()
 	for i := 0; i < len(q.waiters); {
 		w := q.waiters[i]
-		s := w.find(server)
+		s := w.usableServer(server)
 		if s == nil {
 			i++
 			continue
@@ -89,7 +89,7 @@
 			return
 		}
 		q.remove(i)
-		w.ready <- &permit{pool: p, queue: q, gate: g, server: s, since: time.Now()}
+		w.ready <- &permit{pool: p, queue: q, gate: g, server: s, acquired: time.Now()}
 	}
 }
 
@@ -98,15 +98,16 @@
 	q.waiting.Add(-1)
 }
 
-// hold returns the mean time that a slot is held.
-func (q *queue) hold() time.Duration { return time.Duration(q.mean.Load()) }
+// meanHoldTime returns the exponentially weighted mean of the time for which a
+// slot is held.
+func (q *queue) meanHoldTime() time.Duration { return time.Duration(q.meanHold.Load()) }
 
 func (q *queue) observe(held time.Duration) {
-	mean := q.mean.Load()
-	q.mean.Store(mean + (int64(held)-mean)/meanWeight)
+	mean := q.meanHold.Load()
+	q.meanHold.Store(mean + (int64(held)-mean)/meanWeight)
 }
 
-func (w *waiter) find(server id.Server) *service.Server {
+func (w *waiter) usableServer(server id.Server) *service.Server {
 	for _, s := range w.servers {
 		if s.Name == server && usable(s, w.req.Tried) {
 			return s
@@ -120,7 +121,7 @@
 
 // Release implements admission.Permit.
 func (p *permit) Release(out admission.Outcome) {
-	if !p.done.CompareAndSwap(false, true) {
+	if !p.released.CompareAndSwap(false, true) {
 		return
 	}
 	if !out.Running.IsZero() {
@@ -133,7 +134,7 @@
 }
 
 func (p *permit) free() {
-	p.queue.observe(time.Since(p.since))
+	p.queue.observe(time.Since(p.acquired))
 	p.gate.Release()
 	p.queue.offer(p.pool, p.server.Name, p.gate)
 }
--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -158,7 +158,7 @@
 		a.Log = slog.New(slog.DiscardHandler)
 	}
 	a.Entries = max(a.Entries, 1)
-	a.Pool.Starved = func(*admission.Request) { a.rouse() }
+	a.Pool.OnWait = func(*admission.Request) { a.rouse() }
 	a.node = node.Node{
 		Self: a.Self, Homes: clocked{a}, Distance: a.Distance, Waiting: a.Pool.Waiting,
 		Lifetime: a.Lifetime, Renew: a.Renew, Demand: a.Demand,
