--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -17,66 +17,67 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Times for fields that are zero.
+// Defaults for fields of [Admitter] that are zero.
 const (
 	DefaultLifetime = 2 * time.Second
 	DefaultRenew    = 500 * time.Millisecond
 	DefaultMargin   = 500 * time.Millisecond
 
+	// tick is the interval at which Run looks for messages to send.
 	tick = 10 * time.Millisecond
 )
 
 type (
-	// Homes tells who is home of the buckets. It is safe for concurrent use
-	// and answers from memory.
+	// Homes provides the home entries of buckets. It is safe for concurrent
+	// use, and its methods don't block on I/O.
 	Homes interface {
-		// Home returns the home of a bucket and its term, as last known.
+		// Home returns the last known home entry of a bucket and its term.
 		Home(wire.Bucket) (id.Instance, id.Term, bool)
-		// Authority returns the term in which this entry is home of a bucket
-		// and the time from which it isn't any more unless it renews its
-		// lease; false if it isn't now.
+		// Authority returns the term in which this entry is the home of a
+		// bucket and the time at which its lease expires unless it is
+		// renewed; false if this entry is not the home now.
 		Authority(wire.Bucket) (id.Term, time.Time, bool)
-		// Confirmed returns the term that the last successful read of the
-		// store showed for a bucket, and when that read began.
+		// Confirmed returns the term of a bucket according to the last
+		// successful read of the store, and the time at which that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Time, bool)
-		// Raise asks for a new term of a bucket that this entry is home of. It
-		// returns at once; Authority tells the new term once the store has it.
+		// Raise requests a new term for a bucket whose home is this entry. It
+		// doesn't wait; Authority returns the new term once it is in the store.
 		Raise(wire.Bucket)
 	}
 
-	// Admitter permits sends within granted slots. Its exported fields are set
-	// before its first use.
+	// Admitter admits requests within granted slots. Its exported fields must
+	// be set before its first use.
 	Admitter struct {
-		// Pool hands out the slots of this entry. Its Starved is set by
+		// Pool allocates the slots of this entry. Its OnWait is set by
 		// Configure.
 		Pool pool.Pool
-		// Self names this process.
+		// Self identifies this process.
 		Self peer.Sender
-		// Caller reaches the other entries.
+		// Caller sends messages to the other entries.
 		Caller peer.Caller
-		// Homes tells who is home.
+		// Homes provides the home entries of buckets.
 		Homes Homes
-		// Distance returns the one-way delay to an availability zone; nil
-		// means that all are equally near.
+		// Distance returns the one-way delay to an availability zone. If it is
+		// nil, all zones are equally near.
 		Distance func(id.Zone) time.Duration
-		// Entries is the number of entries among which a server's connections
-		// are divided.
+		// Entries is the number of entries among which the connections of a
+		// server are divided.
 		Entries int
-		// Lifetime is how long a grant lives after its renewal.
+		// Lifetime is how long a grant is valid after its renewal.
 		Lifetime time.Duration
-		// Renew is the time between two reports to a home.
+		// Renew is the interval between two reports to a home entry.
 		Renew time.Duration
 		// Margin is added to the longest deadline of a service.
 		Margin time.Duration
-		// Demand sets the reserve kept of each service.
+		// Demand determines the reserve of free slots kept for each service.
 		Demand demand.Policy
-		// Log gets a line for what fails; nil means none.
+		// Log receives failed messages; nil disables logging.
 		Log *slog.Logger
 
-		mu     sync.Mutex
-		node   node.Node
-		closed map[pool.Key]bool
-		wake   chan struct{}
+		mu   sync.Mutex
+		node node.Node
+		open map[pool.Key]bool
+		wake chan struct{}
 	}
 )
 
@@ -85,45 +86,45 @@
 	return a.Pool.Admit(ctx, req)
 }
 
-// Configure sets the services by the files now in force. A server that no file
-// names, or that is leaving, gets no new requests.
+// Configure sets the services from the active service files. A server that is
+// leaving, or in none of the files, gets no new requests.
 func (a *Admitter) Configure(files []*service.File) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.defaults()
+	a.setDefaults()
 	a.node.Configure(node.Plan(files, a.Entries, a.Margin), a.Pool.Now())
-	a.close(files)
-	a.rouse()
+	a.closeGates(files)
+	a.wakeRun()
 }
 
-// Handlers returns the handlers of the messages between entries, by method.
+// Handlers returns the handlers for messages from other entries, by method.
 func (a *Admitter) Handlers() map[string]peer.Handler {
 	return map[string]peer.Handler{wire.MethodReport: a.handleReport, wire.MethodGrant: a.handleGrant}
 }
 
-// Leave makes the entry give away all slots that aren't in use, as before a
-// planned stop. Requests that wait still get slots as others come free.
+// Leave makes the entry return all slots that aren't in use, before a graceful
+// shutdown. Waiting requests still get slots as they become free.
 func (a *Admitter) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.defaults()
+	a.setDefaults()
 	a.node.Leaving = true
-	a.rouse()
+	a.wakeRun()
 }
 
-// Handed tells, after Leave, whether all but what is in use has been given
-// away. The leases of the buckets may then be released, and should be: their
-// next homes learn of every slot.
+// Handed reports, after Leave, whether all slots that aren't in use have been
+// returned. The leases of the buckets may and should then be released: the next
+// home entries are informed of every slot.
 func (a *Admitter) Handed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.node.Handed()
 }
 
-// Run exchanges messages with the other entries until ctx ends.
+// Run exchanges messages with the other entries until ctx is done.
 func (a *Admitter) Run(ctx context.Context) {
 	a.mu.Lock()
-	a.defaults()
+	a.setDefaults()
 	wake := a.wake
 	a.mu.Unlock()
 	ticker := time.NewTicker(tick)
@@ -132,7 +133,7 @@
 	defer calls.Wait()
 	for {
 		for _, s := range a.step() {
-			calls.Go(func() { a.carry(ctx, s) })
+			calls.Go(func() { a.exchange(ctx, s) })
 		}
 		select {
 		case <-ctx.Done():
@@ -143,7 +144,7 @@
 	}
 }
 
-func (a *Admitter) defaults() {
+func (a *Admitter) setDefaults() {
 	if a.wake != nil {
 		return
 	}
@@ -158,17 +159,17 @@
 		a.Log = slog.New(slog.DiscardHandler)
 	}
 	a.Entries = max(a.Entries, 1)
-	a.Pool.OnWait = func(*admission.Request) { a.rouse() }
+	a.Pool.OnWait = func(*admission.Request) { a.wakeRun() }
 	a.node = node.Node{
-		Self: a.Self, Homes: clocked{a}, Distance: a.Distance, Waiting: a.Pool.Waiting,
+		Self: a.Self, Homes: poolClock{a}, Distance: a.Distance, Waiting: a.Pool.Waiting,
 		Lifetime: a.Lifetime, Renew: a.Renew, Demand: a.Demand,
 		Gate:  func(svc id.Service, s id.Server) *gate.Gate { return a.Pool.Set(pool.Key{Service: svc, Server: s}) },
 		Offer: func(svc id.Service, s id.Server) { a.Pool.Offer(pool.Key{Service: svc, Server: s}) },
 	}
 }
 
-// close shuts the gates of servers that are leaving or named no more.
-func (a *Admitter) close(files []*service.File) {
+// closeGates closes the gates of servers that are leaving or no longer configured.
+func (a *Admitter) closeGates(files []*service.File) {
 	open := map[pool.Key]bool{}
 	for _, f := range files {
 		for i := range f.Servers {
@@ -176,7 +177,7 @@
 			open[key] = !f.Servers[i].Leaving
 		}
 	}
-	for key := range a.closed {
+	for key := range a.open {
 		if !open[key] {
 			a.Pool.Set(key).SetClosed(true)
 		}
@@ -184,11 +185,11 @@
 	for key, ok := range open {
 		a.Pool.Set(key).SetClosed(!ok)
 	}
-	a.closed = open
+	a.open = open
 }
 
-// rouse makes Run look again.
-func (a *Admitter) rouse() {
+// wakeRun makes Run look for messages to send before the next tick.
+func (a *Admitter) wakeRun() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
--- a/internal/admission/shared/admitter_test.go
+++ b/internal/admission/shared/admitter_test.go
@@ -28,7 +28,7 @@
 )
 
 type (
-	// world is some entries, a store that knows the homes, and a network.
+	// world simulates entries, the store with the home entries, and a network.
 	world struct {
 		mu      sync.Mutex
 		names   []id.Instance
@@ -40,7 +40,7 @@
 		over    int
 		rng     *rand.Rand
 		loss    float64
-		vacant  id.Zone // has no home for now
+		vacant  id.Zone // currently without a home entry
 	}
 
 	entry struct {
@@ -105,7 +105,7 @@
 	w.homes[key] = name
 }
 
-// Call carries a message to another entry and its answer back.
+// Call delivers a message to another entry and returns its response.
 func (e *entry) Call(ctx context.Context, to id.Instance, method string, params, out any) error {
 	time.Sleep(delay)
 	data, err := json.Marshal(params)
@@ -156,7 +156,7 @@
 	e.world.terms[b]++
 }
 
-// admit gets a slot and counts it until done is called.
+// admit acquires a slot and counts it as running until done is called.
 func (e *entry) admit(within time.Duration) (done func(), err error) {
 	req := &admission.Request{Service: e.world.file, Class: &e.world.file.Classes[0], Deadline: time.Now().Add(within)}
 	p, err := e.Admit(context.Background(), req)
@@ -207,7 +207,7 @@
 						all = append(all, done)
 					}
 					_, err := w.entries[at].admit(time.Second)
-					is.True(err != nil) // the tenth has no slot
+					is.True(err != nil) // all 9 slots are in use
 					for _, done := range all {
 						done()
 					}
@@ -219,11 +219,11 @@
 	}
 }
 
-func TestAdmitterSurvivesALoss(t *testing.T) {
+func TestSlotsAreRecoveredAfterEntryFailure(t *testing.T) {
 	tests := map[string]struct{ holder, home bool }{
-		"holder lost":       {holder: true},
-		"home lost":         {home: true},
-		"home and a holder": {holder: true, home: true},
+		"holder fails":         {holder: true},
+		"home fails":           {home: true},
+		"home and holder fail": {holder: true, home: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -235,7 +235,7 @@
 				is.NoErr(err)
 				_, err = w.entries["e-1"].admit(time.Minute)
 				is.NoErr(err)
-				clear(w.running) // the lost entries' requests end with them
+				clear(w.running) // requests end when their entry fails
 				if tt.holder {
 					w.entries["e-3"].kill()
 				}
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestAdmitterServesOnWhileHomeIsLost(t *testing.T) {
+func TestAdmitterServesWhileHomeIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 0)
@@ -279,7 +279,7 @@
 	})
 }
 
-func TestAdmitterNeverOverloads(t *testing.T) {
+func TestSlotsAreNeverExceededDespiteLossAndPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 0.1)
@@ -318,7 +318,7 @@
 	})
 }
 
-func TestAdmitterLeaves(t *testing.T) {
+func TestLeaveReturnsUnusedSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 0)
@@ -333,13 +333,13 @@
 		w.mu.Lock()
 		w.setHome("z-1", "e-2")
 		w.mu.Unlock()
-		time.Sleep(time.Second) // far less than a deadline
+		time.Sleep(time.Second) // shorter than the deadline
 		for range 8 {
 			_, err := w.entries["e-3"].admit(200 * time.Millisecond)
 			is.NoErr(err)
 		}
 		_, err = w.entries["e-3"].admit(200 * time.Millisecond)
-		is.True(err != nil) // the ninth runs at the entry that leaves
+		is.True(err != nil) // the ninth slot is in use at the leaving entry
 		done()
 		_, err = w.entries["e-3"].admit(time.Second)
 		is.NoErr(err)
@@ -347,9 +347,10 @@
 	})
 }
 
-// A request that was sent to all servers but one gets that one's slot, wherever
-// the idle slots are, and although its entry holds idle ones of the others.
-func TestAdmitterFindsTheServerThatIsLeft(t *testing.T) {
+// A request that has been tried on all servers but one gets a slot of the
+// remaining server, even if other entries hold its idle slots and the request's
+// entry holds idle slots of the tried servers.
+func TestAdmitterGetsSlotOfOnlyUntriedServer(t *testing.T) {
 	for _, left := range []id.Server{"a", "b", "c"} {
 		t.Run(string(left), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -379,9 +380,9 @@
 	}
 }
 
-// A bucket that has no home for now doesn't keep an entry from the others'
-// slots, also if its last home had many to spare.
-func TestAdmitterServesOnBesideAVacantBucket(t *testing.T) {
+// A bucket without a home entry doesn't prevent an entry from getting slots of
+// other buckets, even if its last home entry had many free slots.
+func TestAdmitterServesWhileAnotherBucketHasNoHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 0)
--- a/internal/admission/shared/doc.go
+++ b/internal/admission/shared/doc.go
@@ -1,17 +1,18 @@
-// Package shared permits sends within slots that the homes of the backend
-// servers grant, and takes its part as home of some of them.
+// Package shared admits requests within slots that are granted by the home
+// entries of the backend servers, and acts as the home entry of some of them.
 //
-// An [Admitter] joins a pool.Pool, which serves the request path, to a
-// node.Node, which decides what to ask, to grant and to give back. Requests take slots from the pool and ask nobody.
-// [Admitter.Run] exchanges the messages with the other entries: it renews the
-// grants, asks for more slots before they run short or when requests wait, and
-// gives back what it doesn't need.
+// An [Admitter] connects a pool.Pool, which serves the request path, with a
+// node.Node, which decides which slots to request, grant and return. Requests
+// take slots from the pool without communication with other entries.
+// [Admitter.Run] exchanges messages with the other entries: it renews grants,
+// requests more slots before they run out or when requests wait, and returns
+// slots that are not needed.
 //
-// Who is home, in which term and with what authority is told by [Homes], which
-// the leases in the store stand behind.
+// [Homes] provides the home entry of each bucket, its term, and whether this
+// entry may act as home. It is backed by the leases in the store.
 //
-// Lifetime is the same at all entries. Margin is added to the longest deadline
-// of a service, for clocks of unequal rate and bytes on their way.
+// Lifetime must be the same at all entries. Margin is added to the longest
+// deadline of a service, to cover clock drift and data in transit.
 //
 // # Usage
 //
--- a/internal/admission/shared/talk.go
+++ b/internal/admission/shared/talk.go
@@ -11,56 +11,56 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// maxRounds bounds the messages that follow one push.
+// maxRounds is the maximum number of grant messages in one exchange.
 const maxRounds = 4
 
-// clocked shows Homes on the clock of the pool.
-type clocked struct{ *Admitter }
+// poolClock adapts Homes to node.Homes, with times on the pool's clock.
+type poolClock struct{ *Admitter }
 
 // Home implements node.Homes.
-func (c clocked) Home(b wire.Bucket) (id.Instance, id.Term, bool) { return c.Homes.Home(b) }
+func (c poolClock) Home(b wire.Bucket) (id.Instance, id.Term, bool) { return c.Homes.Home(b) }
 
 // Authority implements node.Homes.
-func (c clocked) Authority(b wire.Bucket) (id.Term, time.Duration, bool) {
+func (c poolClock) Authority(b wire.Bucket) (id.Term, time.Duration, bool) {
 	term, until, ok := c.Homes.Authority(b)
 	return term, c.Pool.At(until), ok
 }
 
 // Confirmed implements node.Homes.
-func (c clocked) Confirmed(b wire.Bucket) (id.Term, time.Duration, bool) {
+func (c poolClock) Confirmed(b wire.Bucket) (id.Term, time.Duration, bool) {
 	term, begun, ok := c.Homes.Confirmed(b)
 	return term, c.Pool.At(begun), ok
 }
 
 // Raise implements node.Homes.
-func (c clocked) Raise(b wire.Bucket) { c.Homes.Raise(b) }
+func (c poolClock) Raise(b wire.Bucket) { c.Homes.Raise(b) }
 
-// step returns the messages to send now.
+// step returns the messages that are due.
 func (a *Admitter) step() []node.Send {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.node.Step(a.Pool.Now())
 }
 
-// carry sends a message and takes its answer.
-func (a *Admitter) carry(ctx context.Context, s node.Send) {
+// exchange sends a message and processes the response.
+func (a *Admitter) exchange(ctx context.Context, s node.Send) {
 	ctx, cancel := context.WithTimeout(ctx, a.Renew)
 	defer cancel()
-	defer a.rouse()
+	defer a.wakeRun()
 	if s.Report != nil {
-		a.ask(ctx, s)
+		a.sendReport(ctx, s)
 		return
 	}
 	for range maxRounds {
 		var r wire.Report
 		if err := a.Caller.Call(ctx, s.To.Instance, wire.MethodGrant, s.Grant, &r); err != nil {
-			a.failed(s, err)
+			a.logFailure(s, err)
 			return
 		}
 		a.mu.Lock()
 		next, more := a.node.Pushed(s.To, &r, a.Pool.Now())
 		a.mu.Unlock()
-		a.rouse()
+		a.wakeRun()
 		if !more {
 			return
 		}
@@ -68,10 +68,10 @@
 	}
 }
 
-func (a *Admitter) ask(ctx context.Context, s node.Send) {
+func (a *Admitter) sendReport(ctx context.Context, s node.Send) {
 	answer := new(wire.Grant)
 	if err := a.Caller.Call(ctx, s.To.Instance, wire.MethodReport, s.Report, answer); err != nil {
-		a.failed(s, err)
+		a.logFailure(s, err)
 		answer = nil
 	}
 	a.mu.Lock()
@@ -79,7 +79,7 @@
 	a.node.Answered(s.Report, answer, a.Pool.Now())
 }
 
-func (a *Admitter) failed(s node.Send, err error) {
+func (a *Admitter) logFailure(s node.Send, err error) {
 	a.Log.Debug("slots message failed", "to", s.To.Instance, "report", s.Report != nil, "error", err)
 }
 
@@ -90,7 +90,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	defer a.rouse()
+	defer a.wakeRun()
 	grant, err := a.node.Report(from, &r, a.Pool.Now())
 	return &grant, err
 }
