--- a/internal/admission/steered/admitter.go
+++ b/internal/admission/steered/admitter.go
@@ -15,32 +15,34 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// smallRequest is what a request without an announced large body counts for on
-// a link, its answer included.
-const smallRequest = 2 * unit.KiB
+// requestOverhead is the number of bytes that a request and its response are
+// charged on a link, in addition to the request body.
+const requestOverhead = 2 * unit.KiB
 
 type (
-	// Cap limits the rise of requests toward a region.
+	// Cap limits how fast the request rate toward a region may rise.
 	Cap interface {
-		// Admit counts one request, or tells when to come back.
+		// Admit counts one request, or refuses it and returns the time after
+		// which to retry.
 		Admit(now time.Time) (ok bool, retryAfter time.Duration)
 	}
 
-	// Admitter permits sends. Its fields must not change after the first call.
+	// Admitter admits requests within slots, shift caps and link budgets. Its
+	// fields must not change after the first call.
 	Admitter struct {
-		// Inner permits slots.
+		// Inner grants the slots.
 		Inner admission.Admitter
 		// Self is the entry's own region.
 		Self id.Region
 		// Region returns the region of a zone.
 		Region func(id.Zone) (id.Region, bool)
-		// Cap returns the cap of a service toward a region, nil for none.
+		// Cap returns the shift cap of a service toward a region, nil for none.
 		Cap func(id.Service, id.Region) Cap
 		// Link returns the budget toward another region, nil for none.
 		Link func(id.Region) *link.Budget
 	}
 
-	// permit is an inner permit with the body's part of a link's budget.
+	// permit is a permit of Inner with the body's reservation of a link budget.
 	permit struct {
 		admission.Permit
 		body *link.Body
@@ -70,16 +72,16 @@
 		if first == nil {
 			first = refused
 		}
-		req = a.without(req, region)
+		req = a.excludeRegion(req, region)
 	}
 }
 
-// charge charges the region's cap and the link's budget for the permit.
+// charge charges the link's budget and the region's shift cap for a permit.
 func (a *Admitter) charge(now time.Time, req *admission.Request, region id.Region, p admission.Permit) (admission.Permit, *admission.RefusedError) {
 	var body *link.Body
 	if budget := a.budget(region); budget != nil {
 		var refused *admission.RefusedError
-		if body, refused = pass(now, req, budget); refused != nil {
+		if body, refused = chargeLink(now, req, budget); refused != nil {
 			return nil, refused
 		}
 	}
@@ -104,29 +106,31 @@
 	return a.Link(region)
 }
 
-// pass admits what the request sends over a link: an upload, or a body that is
-// too large to go at once, as a paced body, others at once. A body without an
-// announced size counts as the largest that its class takes.
-func pass(now time.Time, req *admission.Request, budget *link.Budget) (*link.Body, *admission.RefusedError) {
+// chargeLink charges a request to a link's budget. An upload, or a body that is
+// too large to be sent without pacing, is admitted as a paced body. Other
+// requests are charged as small ones, with a nil body. A body without a declared
+// size counts as the largest that its class allows.
+func chargeLink(now time.Time, req *admission.Request, budget *link.Budget) (*link.Body, *admission.RefusedError) {
 	size := req.Body
 	if size < 0 {
 		size = req.Class.BodyLimit
 	}
-	if req.Class.Kind == service.Upload || size+smallRequest > budget.Small() {
-		body, after := budget.Admit(size+smallRequest, req.Deadline.Sub(now))
+	if req.Class.Kind == service.Upload || size+requestOverhead > budget.Small() {
+		body, after := budget.Admit(size+requestOverhead, req.Deadline.Sub(now))
 		if body == nil {
 			return nil, &admission.RefusedError{Code: result.LinkFull, RetryAfter: after}
 		}
 		return body, nil
 	}
-	if !budget.Pass(now, size+smallRequest) {
+	if !budget.Pass(now, size+requestOverhead) {
 		return nil, &admission.RefusedError{Code: result.LinkFull, RetryAfter: time.Second}
 	}
 	return nil, nil
 }
 
-// without returns the request with all servers of the region marked as tried.
-func (a *Admitter) without(req *admission.Request, region id.Region) *admission.Request {
+// excludeRegion returns a copy of the request with all servers of the region
+// marked as tried.
+func (a *Admitter) excludeRegion(req *admission.Request, region id.Region) *admission.Request {
 	out := *req
 	out.Tried = slices.Clone(req.Tried)
 	for i := range req.Service.Servers {
@@ -138,8 +142,8 @@
 	return &out
 }
 
-// refusal returns what the caller is told: the first region's reason, unless
-// the request itself is the cause.
+// refusal returns the error for the caller: the refusal of the first region,
+// unless the deadline of the request has passed.
 func (a *Admitter) refusal(first *admission.RefusedError, err error) error {
 	var last *admission.RefusedError
 	if first == nil || (errors.As(err, &last) && last.Code == result.DeadlinePassed) {
--- a/internal/admission/steered/admitter_test.go
+++ b/internal/admission/steered/admitter_test.go
@@ -19,7 +19,7 @@
 )
 
 type (
-	// slots gives a slot on the first server that wasn't tried.
+	// slots grants a slot of the first server that hasn't been tried.
 	slots struct{ held, released int }
 
 	slot struct {
@@ -46,7 +46,7 @@
 
 func (f fixed) Admit(time.Time) (bool, time.Duration) { return bool(f), 3 * time.Second }
 
-func TestAdmit(t *testing.T) {
+func TestAdmitChargesCapAndLink(t *testing.T) {
 	file := &service.File{Service: "vault", Servers: []service.Server{
 		{Name: "near", Zone: "a1"}, {Name: "near-2", Zone: "a2"}, {Name: "far", Zone: "b1"},
 	}}
@@ -62,15 +62,15 @@
 		released int
 		paced    bool
 	}{
-		"own region":                     {class: read, want: "near"},
-		"own region pays no link":        {class: upload, body: unit.GiB, want: "near"},
-		"own region capped":              {class: read, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1},
-		"all capped: the first's reason": {class: read, capped: []id.Region{"a", "b"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
-		"upload over the link is paced":  {class: upload, body: unit.MiB, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1, paced: true},
-		"upload too large for the link":  {class: upload, body: unit.GiB, capped: []id.Region{"a"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
-		"large body of a write is paced": {class: &service.Class{Kind: service.Write}, body: 256 * unit.KiB, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1, paced: true},
-		"unannounced counts as largest":  {class: upload, body: -1, capped: []id.Region{"a"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
-		"no link budget at all":          {class: read, capped: []id.Region{"a"}, code: result.ShiftCapped, released: 2},
+		"own region":                                  {class: read, want: "near"},
+		"own region is not charged to a link":         {class: upload, body: unit.GiB, want: "near"},
+		"own region capped, other region":             {class: read, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1},
+		"all capped, first region's code":             {class: read, capped: []id.Region{"a", "b"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
+		"upload over the link is paced":               {class: upload, body: unit.MiB, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1, paced: true},
+		"upload too large for the link":               {class: upload, body: unit.GiB, capped: []id.Region{"a"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
+		"large body of a write is paced":              {class: &service.Class{Kind: service.Write}, body: 256 * unit.KiB, capped: []id.Region{"a"}, rate: unit.MiB, want: "far", released: 1, paced: true},
+		"undeclared size counts as the class's limit": {class: upload, body: -1, capped: []id.Region{"a"}, rate: unit.MiB, code: result.ShiftCapped, released: 2},
+		"link budget of 0":                            {class: read, capped: []id.Region{"a"}, code: result.ShiftCapped, released: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -88,8 +88,8 @@
 			}
 			req := &admission.Request{Service: file, Class: tt.class, Body: tt.body, Deadline: time.Now().Add(time.Minute)}
 			p, err := a.Admit(context.Background(), req)
-			is.Equal(inner.released, tt.released) // no slot is kept by a refusal
-			is.Equal(len(req.Tried), 0)           // the caller's request is unchanged
+			is.Equal(inner.released, tt.released) // refusals keep no slot
+			is.Equal(len(req.Tried), 0)           // the request passed in is unchanged
 			if tt.code != 0 {
 				var refused *admission.RefusedError
 				is.True(errors.As(err, &refused))
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestReleaseGivesTheLinksPartBack(t *testing.T) {
+func TestReleaseReturnsLinkReservation(t *testing.T) {
 	is := is.New(t)
 	budget := new(link.Budget)
 	budget.SetRate(unit.MiB, 1)
@@ -120,7 +120,7 @@
 	first, err := a.Admit(context.Background(), req)
 	is.NoErr(err)
 	_, err = a.Admit(context.Background(), req)
-	is.True(err != nil) // two don't fit
+	is.True(err != nil) // the budget doesn't fit two bodies
 	first.Release(admission.Outcome{})
 	first.Release(admission.Outcome{})
 	_, err = a.Admit(context.Background(), req)
--- a/internal/admission/steered/doc.go
+++ b/internal/admission/steered/doc.go
@@ -1,19 +1,18 @@
-// Package steered permits sends within the cap on a shift and the links'
-// budgets, on top of the slots.
+// Package steered applies the shift caps and the link budgets on top of slot
+// admission.
 //
-// An [Admitter] first gets a slot, on the server that placement and the free
-// slots choose, and then charges what that choice costs: the cap of the
-// server's region, and, if the region is another than the entry's own, the
-// link's budget. If a charge is refused, the slot is given back, the region is
-// left out, and the next one is tried. A request that no region takes is
-// refused at once, with the reason of the first region that refused it and its
-// time to come back.
+// An [Admitter] first acquires a slot on the server that results from placement
+// and the free slots. It then charges the budget of the link, if the server's
+// region differs from the entry's own, and the shift cap of the region. If
+// either refuses, the slot is returned, the region is excluded and the next
+// region is tried. A request that every region refuses is refused without
+// waiting, with the code and the retry time of the first region that refused.
 //
-// Charging after the slot is safe: what was charged is never given back, so
-// the cap counts at least what was sent.
+// Charging the cap after acquiring the slot is safe: a cap is never refunded, so
+// that it counts at least the requests that were sent.
 //
-// A permit for a body that crosses a link is a [admission.Paced]: the sender
-// asks it how much may go now.
+// A permit for a body that crosses a link implements [admission.Paced], which
+// tells the sender how many bytes it may send now.
 //
 // # Usage
 //
