--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,26 +1,27 @@
 // Package placement orders the backend servers that a request may be sent to.
 //
-// [Steer] decides, for one service at one entry, which part of its requests
-// each region gets. Regions form tiers by their delay from the entry; a region
-// of weight 0 is in the last tier whatever its delay. Within a tier requests
-// are split by weight. Each region keeps a part of what it is given and passes
-// the rest to the next tier. A region that reports little headroom keeps less,
-// one step at a time, and one that reports much keeps more. Between two steps
-// of a region its load must have been measured anew, after the last step could
-// show, so that a late measurement is never acted on twice. Between the two
-// bounds nothing changes.
+// [Steer] determines the share of the requests of one service at one entry that
+// each region gets. Regions form tiers by their delay from the entry; regions
+// of weight 0 are in the last tier regardless of delay. Within a tier requests
+// are split by weight. Each region keeps a fraction of the requests assigned to
+// it and passes the rest to the next tier. The fraction is lowered in steps
+// while the region's load is above [High] and raised in steps while it is below
+// [Low]; in between it doesn't change. After a step, the next step requires a
+// load that was measured after the first one took effect, so that a delayed
+// measurement is never acted on twice.
 //
-// A load that is missing, stale, from the future or not a sane number is
-// unknown. A region of unknown load keeps what it has and gets no more: no
-// other region steps down in its favour.
+// A load that is missing, stale, from the future or out of range is unknown. A
+// region of unknown load keeps its fraction and gets no overflow: no other
+// region steps down in its favour.
 //
-// [Table] is immutable and serves the request path: it gives each request an
-// order of servers. The first region is drawn by the parts that Steer decided,
-// the others follow by delay. Within a region the nearest zone comes first, but
-// zones that were tried come after those that were not, and servers that were
-// tried don't come at all. A server in its slow start comes before the region's
-// warm ones only as often as its ramp allows, and else after them all: it takes
-// what would otherwise wait.
+// [Table] is immutable and serves the request path: it determines the order in
+// which servers are considered for a request. The first region is drawn at
+// random by the shares from Steer, the others follow by delay. Within a region
+// the nearest zone comes first, but zones with a tried server come after those
+// without, and tried servers are left out. A server in slow start precedes the
+// warm servers of its region only for the fraction of requests that its ramp
+// allows, and otherwise follows them, so that it serves requests that would have
+// to wait for a slot.
 //
 // # Usage
 //
--- a/internal/placement/steer.go
+++ b/internal/placement/steer.go
@@ -12,47 +12,50 @@
 )
 
 const (
-	// Low is the load, as a share of slots in use, under which a region takes
-	// requests back.
+	// Low is the load, as a share of slots in use, below which a region keeps
+	// a larger fraction of its requests.
 	Low = 0.60
-	// High is the load over which a region passes requests on.
+	// High is the load above which a region passes more requests to the next
+	// tier.
 	High = 0.85
-	// MaxAge is the greatest age of a load that is acted on.
+	// MaxAge is the maximum age of a load measurement that is used.
 	MaxAge = 30 * time.Second
-	// maxLoad is the greatest load that is believed. Requests that wait for a
-	// slot count, so that a load may be above 1.
+	// maxLoad is the maximum plausible load. Requests that wait for a slot
+	// count, so the load may exceed 1.
 	maxLoad = 10.0
 
-	goal     = (Low + High) / 2
+	targetLoad = (Low + High) / 2
+	// stepDown and stepUp bound the change of a kept fraction in one step.
 	stepDown = 0.25
 	stepUp   = 0.125
 	minKeep  = 1.0 / 64
-	// settle is how long a step takes to show in a measurement.
-	settle = 2 * time.Second
+	// settleTime is the time after which the effect of a step is measurable.
+	settleTime = 2 * time.Second
 )
 
 type (
-	// Region is a region that a service's requests may go to, as seen from
-	// one entry.
+	// Region is a region that may serve the requests of a service, from the
+	// perspective of one entry.
 	Region struct {
 		// Name is the region's name.
 		Name id.Region
 		// Delay is the one-way delay from the entry.
 		Delay time.Duration
-		// Weight is the region's share within its tier; 0 keeps the region
+		// Weight is the relative weight within the tier; 0 reserves the region
 		// for overflow.
 		Weight int
 	}
 
-	// Part is the share of an entry's requests that a region gets first.
+	// Part is the share of an entry's requests for which a region is the first
+	// choice.
 	Part struct {
 		// Region is the region's name.
 		Region id.Region
-		// Share is 0 to 1; the shares of all parts sum to 1.
+		// Share is between 0 and 1; the shares of all parts sum to 1.
 		Share float64
 	}
 
-	// Steer splits one service's requests at one entry among regions.
+	// Steer splits the requests of one service at one entry among regions.
 	Steer struct {
 		regions []Region
 		tier    []int
@@ -61,7 +64,7 @@
 	}
 )
 
-// NewSteer returns a Steer in which the nearest tier keeps everything.
+// NewSteer returns a Steer in which the nearest tier keeps all requests.
 func NewSteer(regions []Region) *Steer {
 	s := &Steer{regions: slices.Clone(regions)}
 	slices.SortStableFunc(s.regions, func(a, b Region) int {
@@ -86,7 +89,8 @@
 	return s
 }
 
-// Regions returns the regions that a service allows, as seen from a zone.
+// Regions returns the regions that a service allows, with their delays from a
+// zone.
 func Regions(d *deployment.Deployment, f *service.File, from id.Zone) []Region {
 	home, _ := d.Region(from)
 	regions := make([]Region, len(f.Regions))
@@ -99,8 +103,8 @@
 	return regions
 }
 
-// Step takes the regions' loads, each a share of the region's slots, and tells
-// whether the parts changed.
+// Step adjusts the split to the regions' loads, each a share of the region's
+// slots, and reports whether the parts changed.
 func (s *Steer) Step(now time.Time, loads map[id.Region]measured.Value[float64]) bool {
 	changed := false
 	for i := range s.regions {
@@ -113,7 +117,7 @@
 	return changed
 }
 
-// Parts returns the regions with what each gets first, nearest first.
+// Parts returns the share of each region, nearest region first.
 func (s *Steer) Parts() []Part {
 	parts := make([]Part, len(s.regions))
 	flow := 1.0
@@ -121,7 +125,7 @@
 		end, weights, kept := s.tierFrom(i)
 		whole := weights
 		if end == len(parts) {
-			whole = kept // the last tier passes nothing on
+			whole = kept // the last tier has no next tier
 		}
 		rest := flow
 		for k := i; k < end; k++ {
@@ -133,8 +137,8 @@
 	return parts
 }
 
-// tierFrom returns the end of the tier that starts at i, the sum of its
-// weights, and the sum of what its regions keep of them.
+// tierFrom returns the end of the tier that starts at i, the sum of its weights,
+// and the sum of its weights multiplied by the kept fractions.
 func (s *Steer) tierFrom(i int) (end int, weights, kept float64) {
 	for end = i; end < len(s.regions) && s.tier[end] == s.tier[i]; end++ {
 		weights += s.weight(end)
@@ -147,16 +151,16 @@
 
 func (s *Steer) next(now time.Time, i int, loads map[id.Region]measured.Value[float64]) float64 {
 	value := loads[s.regions[i].Name]
-	load, ok := read(now, value)
-	if !ok || !s.shown(now, i, value) {
+	load, ok := readLoad(now, value)
+	if !ok || !s.stepsObserved(now, i, value) {
 		return s.keep[i]
 	}
 	wanted := 1.0
 	if load > 0 {
-		wanted = min(s.keep[i]*goal/load, 1)
+		wanted = min(s.keep[i]*targetLoad/load, 1)
 	}
 	switch {
-	case load > High && s.room(now, i, loads):
+	case load > High && s.overflowHasCapacity(now, i, loads):
 		return max(wanted, s.keep[i]-stepDown, minKeep)
 	case load < Low:
 		return min(wanted, s.keep[i]+stepUp)
@@ -165,35 +169,36 @@
 	}
 }
 
-// shown tells whether a value was taken after the region's last step, and the
-// steps of the tiers before it, could show.
-func (s *Steer) shown(now time.Time, i int, value measured.Value[float64]) bool {
+// stepsObserved reports whether a value was measured after the last steps of all
+// regions in the same and nearer tiers took effect.
+func (s *Steer) stepsObserved(now time.Time, i int, value measured.Value[float64]) bool {
 	age, _ := value.Age(now)
 	taken := now.Add(-age)
 	for k := range s.regions {
-		if s.tier[k] <= s.tier[i] && taken.Before(s.changed[k].Add(settle)) {
+		if s.tier[k] <= s.tier[i] && taken.Before(s.changed[k].Add(settleTime)) {
 			return false
 		}
 	}
 	return true
 }
 
-// room tells whether a region that would get what region i passes on can take
-// more: one of a later tier, or another one of the last tier.
-func (s *Steer) room(now time.Time, i int, loads map[id.Region]measured.Value[float64]) bool {
+// overflowHasCapacity reports whether a region that would get the overflow of
+// region i has capacity: one of a later tier, or, if region i is in the last
+// tier, another region of that tier.
+func (s *Steer) overflowHasCapacity(now time.Time, i int, loads map[id.Region]measured.Value[float64]) bool {
 	last := s.tier[len(s.tier)-1]
 	for k := range s.regions {
 		if k == i || s.tier[k] < s.tier[i] || (s.tier[k] == s.tier[i] && s.tier[k] < last) {
 			continue
 		}
-		if load, ok := read(now, loads[s.regions[k].Name]); ok && load < High {
+		if load, ok := readLoad(now, loads[s.regions[k].Name]); ok && load < High {
 			return true
 		}
 	}
 	return false
 }
 
-func read(now time.Time, v measured.Value[float64]) (float64, bool) {
+func readLoad(now time.Time, v measured.Value[float64]) (float64, bool) {
 	load, state := v.Read(now, MaxAge)
 	if state != measured.Fresh || !(load >= 0 && load <= maxLoad) {
 		return 0, false
--- a/internal/placement/steer_test.go
+++ b/internal/placement/steer_test.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// loop is a closed loop in virtual time: several entries steer one region's
-// callers by loads that come late.
+// loop simulates a closed control loop in virtual time: several entries split
+// the requests of one region's callers by delayed load measurements.
 type loop struct {
 	lag      time.Duration
 	entries  []*placement.Steer
-	load     map[id.Region]float64   // as it is
-	samples  []map[id.Region]float64 // as measured, one a second
-	outside  int                     // times that the load left the band
+	load     map[id.Region]float64   // actual load
+	samples  []map[id.Region]float64 // measured loads, one sample per second
+	outside  int                     // number of times the load left the target band
 	inside   bool
-	settled  int // last second outside the band
+	settled  int // last second outside the target band
 	steps    int
 	lastStep int
 }
@@ -49,7 +49,8 @@
 	return l
 }
 
-// second runs one second with the home region's callers offering a load.
+// second simulates one second with the given load offered by the home region's
+// callers.
 func (l *loop) second(offered float64, r *rand.Rand) {
 	load := map[id.Region]float64{home: 0, near: 0.3, far: 0.3}
 	for _, e := range l.entries {
@@ -58,7 +59,7 @@
 		}
 	}
 	l.load = maps.Clone(load)
-	for name := range load { // the measurement is off by up to 1%
+	for name := range load { // measurement error of up to 1%
 		load[name] *= 1 + 0.02*(r.Float64()-0.5)
 	}
 	l.samples = append(l.samples, load)
@@ -80,8 +81,8 @@
 	}
 }
 
-// watch counts excursions from the band, once it was reached after a change of
-// the offered load; also those of the region that takes most of the overflow.
+// watch counts excursions from the target band after it has been reached,
+// including those of the region that receives most of the overflow.
 func (l *loop) watch(ok func(float64) bool) {
 	now := len(l.samples) - 1
 	in := ok(l.load[home]) && l.load[near] <= placement.High+0.01
@@ -94,14 +95,14 @@
 	l.inside = in
 }
 
-func TestStepOfLoadSettles(t *testing.T) {
+func TestSteerSettlesAfterLoadStep(t *testing.T) {
 	tests := map[string]struct {
 		from, to float64
 		ok       func(float64) bool
 	}{
 		"up":      {0.5, 1.4, func(x float64) bool { return x <= placement.High+0.01 && x >= placement.Low-0.01 }},
 		"up far":  {0.5, 1.7, func(x float64) bool { return x <= placement.High+0.01 && x >= placement.Low-0.01 }},
-		"down":    {1.4, 0.5, func(x float64) bool { return x >= 0.49 }}, // all comes back
+		"down":    {1.4, 0.5, func(x float64) bool { return x >= 0.49 }}, // all requests return to the home region
 		"partial": {1.4, 1.0, func(x float64) bool { return x >= placement.Low-0.01 && x <= placement.High+0.01 }},
 	}
 	for name, tt := range tests {
@@ -126,13 +127,13 @@
 	}
 }
 
-func TestSteerInputs(t *testing.T) {
+func TestSteerStepInputs(t *testing.T) {
 	now := start.Add(time.Hour)
 	full := measured.At(0.95, now)
 	calm := measured.At(0.2, now)
 	tests := map[string]struct {
 		home, others measured.Value[float64]
-		less         bool // home keeps less than all
+		less         bool // home keeps less than all requests
 	}{
 		"full home, calm others": {full, calm, true},
 		"all full":               {full, full, false},
@@ -142,10 +143,10 @@
 		"home NaN":               {measured.At(math.NaN(), now), calm, false},
 		"home infinite":          {measured.At(math.Inf(1), now), calm, false},
 		"home negative":          {measured.At(-1.0, now), calm, false},
-		"home absurd":            {measured.At(1e9, now), calm, false},
+		"home out of range":      {measured.At(1e9, now), calm, false},
 		"others missing":         {full, measured.Value[float64]{}, false},
 		"others stale":           {full, measured.At(0.2, now.Add(-time.Minute)), false},
-		"others future":          {full, measured.At(0.2, now.Add(time.Minute)), false},
+		"others from the future": {full, measured.At(0.2, now.Add(time.Minute)), false},
 		"others NaN":             {full, measured.At(math.NaN(), now), false},
 		"others negative":        {full, measured.At(-0.2, now), false},
 	}
@@ -162,14 +163,14 @@
 				sum += p.Share
 			}
 			is.True(math.Abs(sum-1) < 1e-9)
-			if tt.less { // the others share by weight
+			if tt.less { // the others are split by weight
 				is.True(math.Abs(parts[1].Share/parts[2].Share-3) < 1e-9)
 			}
 		})
 	}
 }
 
-func TestSteerOverflowRegionIsLast(t *testing.T) {
+func TestSteerUsesOverflowRegionLast(t *testing.T) {
 	is := is.New(t)
 	s := placement.NewSteer([]placement.Region{{Name: home}, {Name: far, Delay: time.Second, Weight: 1}})
 	is.Equal(s.Parts()[0], placement.Part{Region: far, Share: 1})
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// maxZones bounds the zones of one region that a Table tells apart.
+	// maxZones is the maximum number of zones of a region that a Table
+	// distinguishes; servers of further zones are added to the last one.
 	maxZones = 64
-	// warm is the scaled ramp of a warm server.
+	// warm is the scaled ramp of a server that isn't in slow start.
 	warm = ^uint32(0)
 )
 
 type (
-	// Member is a backend server that may be used now.
+	// Member is a backend server that is currently eligible.
 	Member struct {
-		// Server is the server; leaving ones are left out of a table.
+		// Server is the server. Leaving servers are left out of a table.
 		Server *service.Server
-		// Region is the region that it stands in.
+		// Region is the region of the server's zone.
 		Region id.Region
 		// Delay is the one-way delay from the entry.
 		Delay time.Duration
-		// Ramp is how often, 0 to 1, the server may come before the others of
-		// its region; 1 when it is warm.
+		// Ramp is the fraction of requests, 0 to 1, for which the server may
+		// precede the warm servers of its region; 1 if it is warm itself.
 		Ramp float64
 	}
 
@@ -39,9 +40,9 @@
 
 	region struct {
 		name  id.Region
-		limit uint32 // cumulated share, scaled to 1<<32
+		limit uint32 // cumulative share, scaled to 1<<32
 		zones []zone
-		cold  bool // has members in a slow start
+		cold  bool // has members in slow start
 	}
 
 	zone struct {
@@ -72,25 +73,25 @@
 	return t
 }
 
-// Order appends the servers for a request to dst, best first. The draw must be
-// evenly distributed; equal draws give equal orders. Order does not allocate if
-// dst has room for all servers.
+// Order appends the servers for a request to dst, most preferred first. draw is
+// a uniformly distributed random number; equal draws give equal orders. Order
+// does not allocate if dst has capacity for all servers.
 func (t *Table) Order(draw uint64, tried []id.Server, dst []*service.Server) []*service.Server {
 	first := t.first(uint32(draw))
-	spin := uint32(draw >> 32)
+	rotation := uint32(draw >> 32)
 	if first < len(t.regions) {
-		dst = t.regions[first].appendTo(dst, spin, tried)
+		dst = t.regions[first].appendTo(dst, rotation, tried)
 	}
 	for i := range t.regions {
 		if i != first {
-			dst = t.regions[i].appendTo(dst, spin, tried)
+			dst = t.regions[i].appendTo(dst, rotation, tried)
 		}
 	}
 	return dst
 }
 
-// first returns the region that the draw falls to. A region without servers
-// passes on to the nearest one.
+// first returns the index of the region that draw selects. If that region has no
+// servers, the next one in the order of the shares is selected, else the nearest.
 func (t *Table) first(draw uint32) int {
 	for i := range t.regions {
 		if draw < t.regions[i].limit && len(t.regions[i].zones) > 0 {
@@ -100,15 +101,14 @@
 	return 0
 }
 
-// appendTo appends the region's servers: those whose ramp doesn't reach the
-// draw come after all others, and zones that were tried after those that were
-// not.
-func (r *region) appendTo(dst []*service.Server, spin uint32, tried []id.Server) []*service.Server {
-	later := uint64(0)
+// appendTo appends the region's servers. Servers held back by their ramp come
+// after all others, and zones with a tried server after those without.
+func (r *region) appendTo(dst []*service.Server, rotation uint32, tried []id.Server) []*service.Server {
+	triedZones := uint64(0)
 	if len(tried) > 0 {
 		for i := range r.zones {
 			if r.zones[i].contains(tried) {
-				later |= 1 << i
+				triedZones |= 1 << i
 			}
 		}
 	}
@@ -117,35 +117,36 @@
 			break
 		}
 		for i := range r.zones {
-			if later&(1<<i) == 0 {
-				dst = r.zones[i].appendTo(dst, spin, nil, held)
+			if triedZones&(1<<i) == 0 {
+				dst = r.zones[i].appendTo(dst, rotation, nil, held)
 			}
 		}
-		for rest := later; rest != 0; rest &= rest - 1 {
-			dst = r.zones[bits.TrailingZeros64(rest)].appendTo(dst, spin, tried, held)
+		for rest := triedZones; rest != 0; rest &= rest - 1 {
+			dst = r.zones[bits.TrailingZeros64(rest)].appendTo(dst, rotation, tried, held)
 		}
 	}
 	return dst
 }
 
-// appendTo appends the members that are held back by their ramp, or those that
-// are not, in a circle from one that spin picks.
-func (z *zone) appendTo(dst []*service.Server, spin uint32, tried []id.Server, held bool) []*service.Server {
+// appendTo appends the members that are held back by their ramp, or, if held is
+// false, those that are not, in round-robin order starting at a member chosen by
+// rotation.
+func (z *zone) appendTo(dst []*service.Server, rotation uint32, tried []id.Server, held bool) []*service.Server {
 	n := uint32(len(z.members))
-	start := uint32(uint64(spin) * uint64(n) >> 32)
+	start := uint32(uint64(rotation) * uint64(n) >> 32)
 	for k := range n {
 		m := &z.members[(start+k)%n]
-		if m.holds(spin) == held && !slices.Contains(tried, m.server.Name) {
+		if m.heldBack(rotation) == held && !slices.Contains(tried, m.server.Name) {
 			dst = append(dst, m.server)
 		}
 	}
 	return dst
 }
 
-// holds tells whether a member is passed over for a draw because of its ramp.
-func (m *member) holds(spin uint32) bool {
-	const spread = 2654435769 // 1<<32 over the golden ratio
-	return m.ramp != warm && spin*spread >= m.ramp
+// heldBack reports whether the member's ramp holds it back for a given rotation.
+func (m *member) heldBack(rotation uint32) bool {
+	const multiplier = 2654435769 // 1<<32 over the golden ratio
+	return m.ramp != warm && rotation*multiplier >= m.ramp
 }
 
 func (z *zone) contains(names []id.Server) bool {
@@ -178,7 +179,7 @@
 	return zones
 }
 
-// scale maps 0 to 1 to the whole range; what is not a number counts as 0.
+// scale maps the range 0 to 1 to all values of a uint32. NaN counts as 0.
 func scale(x float64) uint32 {
 	switch {
 	case !(x > 0):
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -62,17 +62,17 @@
 		tried   []id.Server
 		want    []id.Server
 	}{
-		"nearest first":           {members(12), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"leaving is left out":     {leaving, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"other zone after a try":  {members(6), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s1", "s4", "s2", "s5"}},
-		"rest of tried zone last": {members(12), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s9", "s6", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"part goes elsewhere":     {members(6), []float64{0.5, 0.5, 0}, 0xffff_fff0, nil, []id.Server{"s1", "s4", "s0", "s3", "s2", "s5"}},
-		"cold comes later":        {cold, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s0", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"home is empty":           {lost, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
-		"region is not allowed":   {append(members(3), placement.Member{Region: "elsewhere", Ramp: 1, Server: &service.Server{Name: "x"}}), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s1", "s2"}},
-		"shares are NaN":          {members(3), []float64{math.NaN(), math.NaN(), math.NaN()}, 7, nil, []id.Server{"s0", "s1", "s2"}},
-		"shares are negative":     {members(3), []float64{-1, -1, -1}, 7, nil, []id.Server{"s0", "s1", "s2"}},
-		"none":                    {nil, []float64{1, 0, 0}, 7, nil, nil},
+		"nearest first":              {members(12), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"leaving server left out":    {leaving, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"untried zone first":         {members(6), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s1", "s4", "s2", "s5"}},
+		"rest of tried zone last":    {members(12), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s9", "s6", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"draw selects other region":  {members(6), []float64{0.5, 0.5, 0}, 0xffff_fff0, nil, []id.Server{"s1", "s4", "s0", "s3", "s2", "s5"}},
+		"cold server after warm":     {cold, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s0", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"home region without server": {lost, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
+		"region not allowed":         {append(members(3), placement.Member{Region: "elsewhere", Ramp: 1, Server: &service.Server{Name: "x"}}), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s1", "s2"}},
+		"shares are NaN":             {members(3), []float64{math.NaN(), math.NaN(), math.NaN()}, 7, nil, []id.Server{"s0", "s1", "s2"}},
+		"shares are negative":        {members(3), []float64{-1, -1, -1}, 7, nil, []id.Server{"s0", "s1", "s2"}},
+		"no members":                 {nil, []float64{1, 0, 0}, 7, nil, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestOrderSharesOutByPartsAndRamp(t *testing.T) {
+func TestOrderFollowsPartsAndRamp(t *testing.T) {
 	is := is.New(t)
 	all := members(12)
 	all[0].Ramp = 0.25
@@ -105,10 +105,11 @@
 	is.True(math.Abs(float64(region[near])/n-0.3) < 0.01)
 	is.True(math.Abs(float64(region[far])/n-0.2) < 0.01)
 	cold, warm := float64(first["s0"]), float64(first["s6"])
-	is.True(math.Abs(cold/(cold+warm)-0.125) < 0.02) // a quarter of its even half
+	is.True(math.Abs(cold/(cold+warm)-0.125) < 0.02) // ramp 0.25 of its half of the zone
 }
 
-// Every usable server comes exactly once, and no tried or leaving one.
+// Each eligible server appears exactly once; tried and leaving servers don't
+// appear.
 func TestOrderIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(rapid.IntRange(0, 40).Draw(t, "members"))
@@ -129,7 +130,7 @@
 		got := placement.NewTable(parts(shares...), all).Order(rapid.Uint64().Draw(t, "draw"), tried, nil)
 		for _, s := range got {
 			if !want[s.Name] {
-				t.Fatalf("%s is not wanted, or comes twice", s.Name)
+				t.Fatalf("%s is not eligible, or appears twice", s.Name)
 			}
 			delete(want, s.Name)
 		}
