--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,26 +1,27 @@
-// Package routing keeps, for one entry, what the decisions on backend servers
-// need from one request to the next, and serves their results to the request
-// path.
+// Package routing maintains the state of one entry for the selection of backend
+// servers and provides the resulting server order to the request path.
 //
-// A [Router] has an opinion (package health), a slow start (package ramp) and
-// the last probe and load report for each server, and a split among regions
-// (package placement) for each service. [Router.Step] moves them on and makes a
-// new table if anything changed. [Router.Order] is what requests read: it takes
-// no lock, and doesn't allocate for a request that was not sent before.
+// A [Router] keeps the health state (package health), the slow start (package
+// ramp), and the last probe result and load report of each server, and the split
+// among regions (package placement) of each service. [Router.Step] updates them
+// and rebuilds the table if anything changed. [Router.Order] serves the request
+// path: it takes no lock, and doesn't allocate for the first attempt of a
+// request.
 //
-// A Router is also an admission.Admitter on top of the slots. It looks once
-// more at the server that a permit is for, since the permit may have been
-// waited for: a server that is leaving by now, or out, gives its slot back and
-// another is asked for. What a send met goes to the opinion and the slow start.
+// A Router is also an admission.Admitter on top of the slots. It checks the
+// server of each permit again, since the request may have waited for the permit:
+// if the server is leaving or unhealthy by then, the slot is released and
+// another permit is requested. The outcome of each attempt updates the health
+// state and the slow start of the server.
 //
 // # Usage
 //
 //	r := &routing.Router{World: d, Zone: zone, Inner: slots}
 //	slots.Pool.Order = r.Order
-//	r.Configure(files, now) // at each configuration and notice
+//	r.Configure(files, now) // on each change of configuration or notices
 //	p, err := r.Admit(ctx, req)
 //
 //	r.SetProbe("registry", "a-1", measured.At(ok, sent))
 //	r.SetReport("registry", "a-1", measured.At(report, sent))
-//	r.Step(now, loads) // some times a second
+//	r.Step(now, loads) // several times per second
 package routing
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -18,27 +18,27 @@
 
 type (
 	// Router orders backend servers for the requests of one entry. Its
-	// exported fields are set before its first use. It is safe for concurrent
-	// use.
+	// exported fields must be set before its first use. It is safe for
+	// concurrent use.
 	Router struct {
 		// World is the deployment.
 		World *deployment.Deployment
 		// Zone is the entry's own availability zone.
 		Zone id.Zone
-		// Inner permits slots, in the order of Order.
+		// Inner grants slots, in the order given by Order.
 		Inner admission.Admitter
-		// Draw returns evenly distributed numbers, and must be safe for
-		// concurrent use; nil is rand.Uint64.
+		// Draw returns uniformly distributed random numbers. It must be safe
+		// for concurrent use. nil means rand.Uint64.
 		Draw func() uint64
 
-		mu       sync.Mutex // held by writers of services
+		mu       sync.Mutex // serializes writers of services
 		services atomic.Pointer[map[id.Service]*routes]
 	}
 )
 
-// Configure puts service files in force, in which the servers that leave are
-// marked. A server that is new to a service known before, has another address,
-// or comes back from leaving begins with a slow start.
+// Configure activates service files, in which leaving servers are marked. A
+// server begins with a slow start if it is new in an already configured service,
+// has a new address, or is no longer leaving.
 func (r *Router) Configure(files []*service.File, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,17 +55,17 @@
 	r.services.Store(&next)
 }
 
-// Step moves the decisions on and makes new tables where they changed. Loads
-// returns the loads of a service's regions, each a share of the region's slots;
-// nil takes them from the servers' reports.
+// Step updates the splits and slow starts and rebuilds the tables that changed.
+// loads returns the loads of a service's regions, each a share of the region's
+// slots; if it is nil, the loads are computed from the servers' reports.
 func (r *Router) Step(now time.Time, loads func(*service.File) map[id.Region]measured.Value[float64]) {
 	for _, s := range r.load() {
 		s.step(now, r, loads)
 	}
 }
 
-// Order returns the servers that the request may be sent to, the best first.
-// The caller must not change the slice.
+// Order returns the servers that the request may be sent to, most preferred
+// first. The slice must not be modified.
 func (r *Router) Order(req *admission.Request) []*service.Server {
 	s := r.load()[req.Service.Service]
 	if s == nil {
@@ -77,8 +77,9 @@
 	return s.order(r.Draw(), req.Tried)
 }
 
-// Verdict returns the opinion on a server at now, and the level of its slow
-// start, above 0 to 1; No and 0 for a server that is not known.
+// Verdict returns the health verdict for a server at now and the level of its
+// slow start, greater than 0 and at most 1. For an unknown server it returns No
+// and 0.
 func (r *Router) Verdict(svc id.Service, name id.Server, now time.Time) (v health.Verdict, level float64) {
 	s := r.server(svc, name)
 	if s == nil {
@@ -88,30 +89,31 @@
 	return state.verdict, state.ramp
 }
 
-// SetProbe notes whether a server answered its probe.
+// SetProbe records whether a server answered its probe.
 func (r *Router) SetProbe(svc id.Service, name id.Server, v measured.Value[bool]) {
 	r.update(svc, name, func(s *server) { s.probe = v })
 }
 
-// SetReport notes a server's report of its load.
+// SetReport records a load report of a server.
 func (r *Router) SetReport(svc id.Service, name id.Server, v measured.Value[health.Report]) {
 	r.update(svc, name, func(s *server) { s.report = v })
 }
 
-// Report returns a server's last report of its load; it is missing if there is
-// none.
+// Report returns the last load report of a server; the value is missing if there
+// is none.
 func (r *Router) Report(svc id.Service, name id.Server) measured.Value[health.Report] {
 	var v measured.Value[health.Report]
 	r.update(svc, name, func(s *server) { v = s.report })
 	return v
 }
 
-// SetWarmth notes how warm a server says that it is, 0 for cold to 1 for warm.
+// SetWarmth records the warmth that a server reports, 0 for cold to 1 for warm.
 func (r *Router) SetWarmth(svc id.Service, name id.Server, v measured.Value[float64]) {
 	r.update(svc, name, func(s *server) { s.warmth = v })
 }
 
-// Parts returns which part of a service's requests each region gets first.
+// Parts returns the share of a service's requests for which each region is the
+// first choice.
 func (r *Router) Parts(svc id.Service) []placement.Part {
 	s := r.load()[svc]
 	if s == nil {
@@ -145,7 +147,7 @@
 	}
 }
 
-// publish makes the servers known to the request path.
+// publish makes the servers visible to the request path.
 func (s *routes) publish() {
 	known := maps.Clone(s.servers)
 	s.lookup.Store(&known)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -25,9 +25,9 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// slots permits the first server of the router's order that was not tried. If
-// held is set, the order is that of the first call, as for a request that
-// waited since then.
+// slots grants the first server of the router's order that hasn't been tried. If
+// held is set, it is used instead of the current order, as for a request that
+// was ordered before it had to wait.
 type slots struct {
 	router   *routing.Router
 	held     []*service.Server
@@ -109,7 +109,7 @@
 	return l
 }
 
-func TestOrderIsNearestFirst(t *testing.T) {
+func TestOrderStartsWithNearestServers(t *testing.T) {
 	is := is.New(t)
 	r := router()
 	first := map[id.Server]int{}
@@ -122,15 +122,15 @@
 	}
 	is.True(first["a"] > 400)
 	is.True(first["b"] > 400)
-	is.Equal(r.Order(request("a"))[0].Name, id.Server("c")) // another zone first
+	is.Equal(r.Order(request("a"))[0].Name, id.Server("c")) // untried zone first
 	is.Equal(len(r.Order(&admission.Request{Service: &service.File{Service: "other"}})), 0)
 }
 
-func TestLeavingServerGetsNothingAfterWait(t *testing.T) {
+func TestLeavingServerGetsNoRequestThatWaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := router()
-		inner := &slots{router: r, held: r.Order(request())} // waits since before the notice
+		inner := &slots{router: r, held: r.Order(request())} // ordered before the servers are leaving
 		r.Inner = inner
 		r.Configure([]*service.File{file("a", "b")}, time.Now())
 		name, _ := send(r, result.Served)
@@ -138,17 +138,17 @@
 		is.Equal(inner.released, []result.Code{result.NoServer, result.NoServer, result.Served})
 		is.Equal(r.Order(request())[0].Name, id.Server("c"))
 		r.Configure([]*service.File{file()}, time.Now())
-		is.True(level(r, "a") < 1) // it came back and is cold
+		is.True(level(r, "a") < 1) // in slow start, since it is no longer leaving
 		is.Equal(level(r, "c"), 1.0)
 	})
 }
 
-func TestFailingServerIsOutAndComesBackByTrial(t *testing.T) {
+func TestFailingServerIsExcludedAndReturnsByTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := router()
 		r.Inner = &slots{router: r}
-		for range 20 { // all are warm and known to answer
+		for range 20 { // all are warm and have answered
 			send(r, result.Served)
 			send(r, result.Served, "a")
 			send(r, result.Served, "b")
@@ -170,7 +170,7 @@
 		for verdict(r, "a") != health.Yes {
 			send(r, result.Served)
 		}
-		is.True(level(r, "a") < 1) // most likely started anew
+		is.True(level(r, "a") < 1) // in slow start after recovery
 		for range 60 {
 			for range 100 {
 				send(r, result.Served)
@@ -182,11 +182,11 @@
 	})
 }
 
-func TestTrials(t *testing.T) {
+func TestTrialBlocksOtherRequestsOnlyAfterFailure(t *testing.T) {
 	bad := measured.At(false, time.Now())
 	tests := map[string]struct {
 		probe measured.Value[bool]
-		ok    bool // a second request while the trial runs
+		ok    bool // a second request is admitted during the trial
 	}{
 		"nothing known": {measured.Value[bool]{}, true},
 		"failed probe":  {bad, false},
@@ -202,13 +202,13 @@
 			for range 20 {
 				other, err := r.Admit(context.Background(), request("c", "d"))
 				is.NoErr(err)
-				is.Equal(other.Server().Name, id.Server("b")) // rather than the one on trial
+				is.Equal(other.Server().Name, id.Server("b")) // preferred to the server on trial
 				other.Release(admission.Outcome{Code: result.CallerGone})
 			}
 			_, err = r.Admit(context.Background(), request("b", "c", "d"))
 			is.Equal(err == nil, tt.ok)
 			first.Release(admission.Outcome{Code: result.CallerGone})
-			for range 3 { // later releases count for nothing
+			for range 3 { // repeated releases have no effect
 				first.Release(admission.Outcome{Code: result.ConnectFailed})
 			}
 			again, err := r.Admit(context.Background(), request("b", "c", "d"))
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestLoadInputsMoveParts(t *testing.T) {
+func TestStepLoadInputs(t *testing.T) {
 	full, calm := health.Report{Slots: 6, Running: 6}, health.Report{Slots: 6, Running: 1}
 	tests := map[string]struct {
 		home, other health.Report
@@ -232,10 +232,10 @@
 		"one of three":    {full, calm, 0, 1, false},
 		"none report":     {full, calm, 0, 0, false},
 		"stale":           {full, calm, time.Minute, 3, false},
-		"future":          {full, calm, -time.Minute, 3, false},
+		"from the future": {full, calm, -time.Minute, 3, false},
 		"all full":        {full, full, 0, 3, false},
 		"negative":        {health.Report{Slots: 6, Running: -6}, calm, 0, 3, false},
-		"absurd":          {health.Report{Slots: 6, Running: 1 << 30}, calm, 0, 3, false},
+		"out of range":    {health.Report{Slots: 6, Running: 1 << 30}, calm, 0, 3, false},
 		"calm everywhere": {calm, calm, 0, 3, false},
 	}
 	for name, tt := range tests {
@@ -264,7 +264,7 @@
 	}
 }
 
-func TestNewServersAreCold(t *testing.T) {
+func TestNewServersStartSlowly(t *testing.T) {
 	is := is.New(t)
 	r := router()
 	is.Equal(level(r, "a"), 1.0)
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// lists is the number of orders that a table keeps ready.
-	lists = 256
-	// trialRamp is how often a server on trial comes first.
+	// ordersPerService is the number of precomputed server orders per service.
+	ordersPerService = 256
+	// trialRamp is the maximum ramp of a server on trial.
 	trialRamp = 1.0 / 32
-	// reportedPart is the part of a region's slots whose reports make its load
-	// known.
-	reportedPart = 0.5
+	// minReportedShare is the minimum share of a region's slots that must be
+	// covered by load reports for the region's load to be known.
+	minReportedShare = 0.5
 )
 
 type (
-	// routes is one service.
+	// routes is the state of one service.
 	routes struct {
 		orders atomic.Pointer[orders]
 		lookup atomic.Pointer[map[id.Server]*server]
 
-		mu      sync.Mutex
-		file    *service.File
-		steer   *placement.Steer
-		regions []placement.Region
-		servers map[id.Server]*server
-		members []placement.Member
-		warm    measured.Value[time.Duration]
+		mu          sync.Mutex
+		file        *service.File
+		steer       *placement.Steer
+		regions     []placement.Region
+		servers     map[id.Server]*server
+		members     []placement.Member
+		warmLatency measured.Value[time.Duration]
 	}
 
-	// orders is immutable.
+	// orders holds a table and orders precomputed from it. It is immutable.
 	orders struct {
 		table *placement.Table
-		ready [lists][]*service.Server
+		ready [ordersPerService][]*service.Server
 	}
 )
 
@@ -64,7 +64,7 @@
 	for i := range f.Servers {
 		conf := &f.Servers[i]
 		old := s.servers[conf.Name]
-		if old == nil || old.moved(conf) {
+		if old == nil || old.addressChanged(conf) {
 			old = new(server)
 			if !first {
 				old.ramp.Start(now)
@@ -81,9 +81,9 @@
 func (s *routes) step(now time.Time, r *Router, loads func(*service.File) map[id.Region]measured.Value[float64]) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.measureWarm(now)
+	s.updateWarmLatency(now)
 	for _, server := range s.servers {
-		server.step(now, s.warm)
+		server.step(now, s.warmLatency)
 	}
 	var current map[id.Region]measured.Value[float64]
 	if loads != nil {
@@ -97,11 +97,12 @@
 	}
 }
 
-// order returns a ready order, or one of its own for a request that was sent.
+// order returns a precomputed order for the first attempt of a request, or one
+// computed from the table for a retry.
 func (s *routes) order(draw uint64, tried []id.Server) []*service.Server {
 	o := s.orders.Load()
 	if len(tried) == 0 || o.table == nil {
-		return o.ready[draw%lists]
+		return o.ready[draw%ordersPerService]
 	}
 	return o.table.Order(draw, tried, make([]*service.Server, 0, len(o.ready[0])))
 }
@@ -109,12 +110,12 @@
 func (s *routes) rebuild(now time.Time, r *Router) {
 	s.members = s.membersAt(now, r)
 	o := &orders{table: placement.NewTable(s.steer.Parts(), s.members)}
-	const step = 1 << 32 / lists
-	for i := range uint64(lists) {
-		// The low half goes evenly through all regions' parts; the high half
-		// is spread without relation to it.
-		spin := (i * 0x9e3779b97f4a7c15) >> 32
-		o.ready[i] = o.table.Order(spin<<32|(i*step+step/2), nil, nil)
+	const step = 1 << 32 / ordersPerService
+	for i := range uint64(ordersPerService) {
+		// The low half covers the shares of all regions evenly. The high half
+		// is a hash of i, so that it is uncorrelated with the low half.
+		rotation := (i * 0x9e3779b97f4a7c15) >> 32
+		o.ready[i] = o.table.Order(rotation<<32|(i*step+step/2), nil, nil)
 	}
 	s.orders.Store(o)
 }
@@ -138,7 +139,7 @@
 	return members
 }
 
-// reported returns the load of each region of which enough servers report.
+// reported returns the load of each region with enough load reports.
 func (s *routes) reported(now time.Time, r *Router) map[id.Region]measured.Value[float64] {
 	type sum struct {
 		slots, reported, running int
@@ -162,16 +163,16 @@
 	}
 	loads := make(map[id.Region]measured.Value[float64], len(sums))
 	for region, t := range sums {
-		if t.reported > 0 && float64(t.reported) >= reportedPart*float64(t.slots) {
+		if t.reported > 0 && float64(t.reported) >= minReportedShare*float64(t.slots) {
 			loads[region] = measured.At(float64(t.running)/float64(t.reported), now.Add(-t.oldest))
 		}
 	}
 	return loads
 }
 
-// measureWarm takes the mean latency of the answers of warm servers since the
-// last step.
-func (s *routes) measureWarm(now time.Time) {
+// updateWarmLatency updates the mean latency of the warm servers from the responses
+// since the last step.
+func (s *routes) updateWarmLatency(now time.Time) {
 	var sum time.Duration
 	answers := 0
 	for _, server := range s.servers {
@@ -180,6 +181,6 @@
 		answers += n
 	}
 	if answers > 0 {
-		s.warm = measured.At(sum/time.Duration(answers), now)
+		s.warmLatency = measured.At(sum/time.Duration(answers), now)
 	}
 }
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -12,19 +12,19 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// serverState is what a table needs to know of a server.
+// serverState is the state of a server that a table depends on.
 type serverState struct {
 	verdict health.Verdict
 	ramp    float64
 	leaving bool
 }
 
-// server is one backend server.
+// server is the state of one backend server.
 type server struct {
 	mu      sync.Mutex
 	address netip.AddrPort
 	leaving bool
-	opinion health.Opinion
+	health  health.Opinion
 	ramp    ramp.Ramp
 	probe   measured.Value[bool]
 	report  measured.Value[health.Report]
@@ -33,8 +33,9 @@
 	answers int
 }
 
-// moved tells whether the name stands for another server than before.
-func (s *server) moved(conf *service.Server) bool {
+// addressChanged reports whether the address of the server has changed, so that
+// its name identifies another server.
+func (s *server) addressChanged(conf *service.Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address != conf.Address
@@ -52,39 +53,39 @@
 func (s *server) state(now time.Time) serverState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, _ := s.opinion.MaySend(now, s.probe, s.report)
+	v, _ := s.health.MaySend(now, s.probe, s.report)
 	return serverState{verdict: v, ramp: s.ramp.Level(), leaving: s.leaving}
 }
 
-// begin tells whether a request may be sent now, and notes it if it is a
-// trial. With lenient, a trial that runs keeps no request from a server that
-// nothing speaks against.
-func (s *server) begin(now time.Time, lenient bool) bool {
+// begin reports whether a request may be sent now, and records it if it is a
+// trial. If allowUnproven is set, a running trial doesn't block requests to a
+// server without evidence of a failure.
+func (s *server) begin(now time.Time, allowUnproven bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
 		return false
 	}
-	switch v, _ := s.opinion.MaySend(now, s.probe, s.report); v {
+	switch v, _ := s.health.MaySend(now, s.probe, s.report); v {
 	case health.Yes:
 		return true
 	case health.Trial:
-		s.opinion.BeginTrial(now)
+		s.health.BeginTrial(now)
 		return true
 	default:
-		return lenient && s.opinion.Unproven(now, s.probe, s.report)
+		return allowUnproven && s.health.Unproven(now, s.probe, s.report)
 	}
 }
 
-// observe takes what a send met. A server that answers after it was out has
-// most likely been started anew.
+// observe records the outcome of an attempt. A server that answers after it was
+// unhealthy has most likely been restarted, so its slow start begins.
 func (s *server) observe(now time.Time, o admission.Outcome) {
 	event := health.EventOf(o.Code)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.opinion.Out()
-	s.opinion.Observe(now, event)
-	if out && !s.opinion.Out() {
+	out := s.health.Out()
+	s.health.Observe(now, event)
+	if out && !s.health.Out() {
 		s.ramp.Start(now)
 	}
 	switch event {
@@ -121,7 +122,8 @@
 	return sum, answers
 }
 
-// reported returns the server's report and its age, if it may be used.
+// reported returns the load report of the server and its age. It returns false
+// if the report is invalid or not fresh.
 func (s *server) reported(now time.Time) (health.Report, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
