--- a/internal/ramp/ramp_test.go
+++ b/internal/ramp/ramp_test.go
@@ -15,14 +15,14 @@
 	"github.com/shallotpier/shallotpier/internal/ramp"
 )
 
-const usual = 200 * time.Millisecond
+const baseline = 200 * time.Millisecond
 
 var start = time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 
-func TestStepInputs(t *testing.T) {
+func TestStepFactorByInputs(t *testing.T) {
 	const large, small, blind, hold, back = 1.5, 1.2, 1.1, 1.0, 0.7
 	at := start.Add(2 * time.Second)
-	fresh := measured.At(usual, at)
+	fresh := measured.At(baseline, at)
 	report := func(w float64, d time.Duration) measured.Value[float64] { return measured.At(w, at.Add(d)) }
 	warm := func(l, d time.Duration) measured.Value[time.Duration] { return measured.At(l, at.Add(d)) }
 	var noReport measured.Value[float64]
@@ -31,25 +31,25 @@
 		refused  bool
 		warm     measured.Value[time.Duration]
 		reported measured.Value[float64]
-		want     float64 // factor on the first level
+		want     float64 // factor by which the initial level changes
 	}{
-		"fast, reported warm":     {usual, false, fresh, report(1, 0), large},
-		"fast, no report":         {usual, false, fresh, noReport, small},
-		"fast, stale report":      {usual, false, fresh, report(1, -time.Minute), small},
-		"fast, future report":     {usual, false, fresh, report(1, time.Minute), small},
-		"fast, NaN report":        {usual, false, fresh, report(math.NaN(), 0), small},
-		"fast, negative report":   {usual, false, fresh, report(-1, 0), small},
-		"fast, absurd report":     {usual, false, fresh, report(100, 0), small},
-		"rather slow":             {2 * usual, false, fresh, report(1, 0), hold},
-		"slow, reported warm":     {5 * usual, false, fresh, report(1, 0), back},
-		"fast but refused":        {usual, true, fresh, report(1, 0), back},
-		"warm latency missing":    {usual, false, measured.Value[time.Duration]{}, report(1, 0), blind},
-		"warm latency stale":      {usual, false, warm(usual, -2*time.Minute), report(1, 0), blind},
-		"warm latency in future":  {usual, false, warm(usual, time.Minute), report(1, 0), blind},
-		"warm latency negative":   {usual, false, warm(-usual, 0), report(1, 0), blind},
-		"warm latency absurd":     {usual, false, warm(math.MaxInt64, 0), report(1, 0), blind},
-		"refused, nothing known":  {usual, true, measured.Value[time.Duration]{}, noReport, back},
-		"answer latency negative": {-usual, false, fresh, report(1, 0), hold}, // no answers, no step
+		"fast, reported warm":          {baseline, false, fresh, report(1, 0), large},
+		"fast, no report":              {baseline, false, fresh, noReport, small},
+		"fast, stale report":           {baseline, false, fresh, report(1, -time.Minute), small},
+		"fast, report from the future": {baseline, false, fresh, report(1, time.Minute), small},
+		"fast, NaN report":             {baseline, false, fresh, report(math.NaN(), 0), small},
+		"fast, negative report":        {baseline, false, fresh, report(-1, 0), small},
+		"fast, report above 1":         {baseline, false, fresh, report(100, 0), small},
+		"somewhat slow":                {2 * baseline, false, fresh, report(1, 0), hold},
+		"slow, reported warm":          {5 * baseline, false, fresh, report(1, 0), back},
+		"fast but refused":             {baseline, true, fresh, report(1, 0), back},
+		"warm latency missing":         {baseline, false, measured.Value[time.Duration]{}, report(1, 0), blind},
+		"warm latency stale":           {baseline, false, warm(baseline, -2*time.Minute), report(1, 0), blind},
+		"warm latency in future":       {baseline, false, warm(baseline, time.Minute), report(1, 0), blind},
+		"warm latency negative":        {baseline, false, warm(-baseline, 0), report(1, 0), blind},
+		"warm latency out of range":    {baseline, false, warm(math.MaxInt64, 0), report(1, 0), blind},
+		"refused, no inputs":           {baseline, true, measured.Value[time.Duration]{}, noReport, back},
+		"answer latency negative":      {-baseline, false, fresh, report(1, 0), hold}, // ignored, so that there is no step
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestReportedColdBoundsLevel(t *testing.T) {
+func TestReportedWarmthBoundsLevel(t *testing.T) {
 	is := is.New(t)
 	var r ramp.Ramp
 	r.Start(start)
@@ -76,25 +76,25 @@
 	for range 60 {
 		now = now.Add(time.Second)
 		for range 10 {
-			r.Answered(usual)
+			r.Answered(baseline)
 		}
-		r.Step(now, measured.At(usual, now), measured.At(0.2, now))
+		r.Step(now, measured.At(baseline, now), measured.At(0.2, now))
 	}
 	is.True(math.Abs(r.Level()-0.45) < 1e-9)
 }
 
-func TestEndsByItself(t *testing.T) {
+func TestRampEndsAfterLongest(t *testing.T) {
 	is := is.New(t)
 	var r ramp.Ramp
 	is.Equal(r.Level(), 1.0) // the zero Ramp is warm
 	r.Start(start)
 	now := start
-	for ; now.Before(start.Add(ramp.Longest)); now = now.Add(time.Second) {
+	for ; now.Before(start.Add(ramp.MaxDuration)); now = now.Add(time.Second) {
 		r.Refused()
-		r.Step(now, measured.At(usual, now), measured.At(0.0, now))
+		r.Step(now, measured.At(baseline, now), measured.At(0.0, now))
 	}
 	is.True(r.Level() < 0.1)
-	is.Equal(r.Step(now, measured.At(usual, now), measured.At(0.0, now)), 1.0)
+	is.Equal(r.Step(now, measured.At(baseline, now), measured.At(0.0, now)), 1.0)
 }
 
 func TestSlots(t *testing.T) {
@@ -106,19 +106,20 @@
 	is.Equal(ramp.Slots(1, 0), 0)
 }
 
-// mode is how a simulation uses the ramp.
+// mode selects how a simulation uses the ramp.
 type mode struct {
 	ramped   bool
 	reports  bool // servers report their warmth
-	overflow bool // requests that find all usable slots taken use the others
+	overflow bool // requests use the remaining slots once all usable ones are taken
 }
 
-// backend is a server whose answers are slow while it is cold, the more so the
-// more requests it runs. It warms with time and with what it served.
+// backend simulates a server whose latency is increased while it is cold, in
+// proportion to its running requests. It warms up with time and with the number
+// of requests served.
 type backend struct {
-	ramp          ramp.Ramp
-	cold          bool
-	running, took int
+	ramp            ramp.Ramp
+	cold            bool
+	running, served int
 }
 
 type end struct {
@@ -138,8 +139,8 @@
 	return last
 }
 
-// firstMinutes returns the p50 and p99 latency of five minutes in which cold
-// of 30 servers with 6 slots have just started, at a load of 0.6.
+// firstMinutes returns the p50 and p99 latency of the first five minutes after
+// the given number of 30 servers with 6 slots have started, at a load of 0.6.
 func firstMinutes(cold int, m mode, seed uint64) (p50, p99 time.Duration) {
 	const servers, slots, length = 30, 6, 5 * time.Minute
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -152,20 +153,20 @@
 	}
 	var running ends
 	var waiting, latencies []time.Duration
-	gap := float64(usual) / (0.6 * servers * slots)
+	gap := float64(baseline) / (0.6 * servers * slots)
 	begin := func(now, came time.Duration) bool {
 		for k, first := 0, r.IntN(servers); k < 2*servers; k++ {
 			i := (first + k) % servers
 			b := &list[i]
 			limit := ramp.Slots(b.ramp.Level(), slots)
-			if m.overflow && k >= servers { // all were full: the rest of the slots
+			if m.overflow && k >= servers { // no usable slot is free: use the remaining slots
 				limit = slots
 			}
 			if b.running >= limit {
 				continue
 			}
 			b.running++
-			mean := float64(usual) * (1 + 19*b.coldness(now)*float64(b.running)/slots)
+			mean := float64(baseline) * (1 + 19*b.coldness(now)*float64(b.running)/slots)
 			heap.Push(&running, end{now + time.Duration(r.ExpFloat64()*mean), came, i})
 			return true
 		}
@@ -177,7 +178,7 @@
 			e := heap.Pop(&running).(end)
 			b := &list[e.server]
 			b.running--
-			b.took++
+			b.served++
 			latencies = append(latencies, e.at-e.began)
 			b.ramp.Answered(e.at - e.began)
 			if len(waiting) > 0 && begin(e.at, waiting[0]) {
@@ -188,10 +189,10 @@
 		if next >= step {
 			for i := range list {
 				report := measured.Value[float64]{}
-				if m.reports { // 2 s late
+				if m.reports { // delayed by 2 s
 					report = measured.At(1-list[i].coldness(step-2*time.Second), start.Add(step-2*time.Second))
 				}
-				list[i].ramp.Step(start.Add(step), measured.At(usual, start.Add(step)), report)
+				list[i].ramp.Step(start.Add(step), measured.At(baseline, start.Add(step)), report)
 			}
 			step += time.Second
 		}
@@ -208,10 +209,10 @@
 	if !b.cold {
 		return 0
 	}
-	return math.Exp(-float64(b.took)/600 - max(now.Seconds(), 0)/60)
+	return math.Exp(-float64(b.served)/600 - max(now.Seconds(), 0)/60)
 }
 
-func TestFirstFiveMinutes(t *testing.T) {
+func TestRampReducesLatencyAfterStart(t *testing.T) {
 	_, without := firstMinutes(5, mode{}, 0)
 	_, byAnswers := firstMinutes(5, mode{ramped: true, overflow: true}, 0)
 	_, reported := firstMinutes(5, mode{ramped: true, reports: true, overflow: true}, 0)
@@ -251,11 +252,11 @@
 
 func BenchmarkStep(b *testing.B) {
 	var r ramp.Ramp
-	warm, report := measured.At(usual, start), measured.At(0.5, start)
+	warm, report := measured.At(baseline, start), measured.At(0.5, start)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Start(start)
-		r.Answered(usual)
+		r.Answered(baseline)
 		r.Step(start, warm, report)
 	}
 }
