--- a/internal/admission/steered/admitter.go
+++ b/internal/admission/steered/admitter.go
@@ -115,14 +115,14 @@
 	if size < 0 {
 		size = req.Class.BodyLimit
 	}
-	if req.Class.Kind == service.Upload || size+requestOverhead > budget.Small() {
+	if req.Class.Kind == service.Upload || size+requestOverhead > budget.MaxSmall() {
 		body, after := budget.Admit(size+requestOverhead, req.Deadline.Sub(now))
 		if body == nil {
 			return nil, &admission.RefusedError{Code: result.LinkFull, RetryAfter: after}
 		}
 		return body, nil
 	}
-	if !budget.Pass(now, size+requestOverhead) {
+	if !budget.AdmitSmall(now, size+requestOverhead) {
 		return nil, &admission.RefusedError{Code: result.LinkFull, RetryAfter: time.Second}
 	}
 	return nil, nil
--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	// maxChunk is the most that a body sends at once.
+	// maxChunk is the maximum number of bytes that a body sends at once.
 	maxChunk = 16 * unit.KiB
-	// chunksPerSecond bounds the chunk on a slow link.
+	// chunksPerSecond limits the chunk size on slow links.
 	chunksPerSecond = 200
-	// reserve is the part of the rate that is kept for small requests.
+	// reserve is the share of the rate that is reserved for small requests.
 	reserve = 0.03
-	// late is how much of a body's time may be made up for when Next is
+	// maxCatchUp is the maximum time for which a body may catch up if Next is
 	// called late.
-	late = 5 * time.Millisecond
-	// ahead is how far small requests may use up the bodies' time.
-	ahead = 20 * time.Millisecond
-	// early is by how much more than its rate a clock may give in a second.
-	early = 1 + float64(late+ahead)/float64(time.Second)
-	// leastWait bounds the answers of Admit and Next from below.
-	leastWait = time.Millisecond
+	maxCatchUp = 5 * time.Millisecond
+	// maxLead is how far small requests may advance the clock of the bodies.
+	maxLead = 20 * time.Millisecond
+	// burstFactor is the factor by which the bytes admitted by a clock in one
+	// second may exceed its rate.
+	burstFactor = 1 + float64(maxCatchUp+maxLead)/float64(time.Second)
+	// minWait is the minimum wait that Next returns.
+	minWait   = time.Millisecond
 	retryWait = time.Second
 )
 
 type (
-	// Budget is what one entry may send toward one region. The zero Budget
-	// has a rate of 0. It is safe for concurrent use.
+	// Budget is the budget of one entry toward one region. The zero Budget
+	// has a rate of 0. A Budget is safe for concurrent use.
 	Budget struct {
-		mu     sync.Mutex
-		rate   float64 // all bytes, a second
-		bodies time.Time
-		small  time.Time
-		needed float64
+		mu          sync.Mutex
+		rate        float64   // all traffic, in bytes per second
+		bodiesClock time.Time // virtual time up to which bodies have been sent
+		smallClock  time.Time // the same for the reserve
+		reserved    float64   // rate required by admitted bodies
 	}
 
-	// Body is an admitted body. It must be closed once.
+	// Body is an admitted request body. It must be closed.
 	Body struct {
-		budget *Budget
-		needed float64
+		budget   *Budget
+		reserved float64
 	}
 )
 
-// SetRate sets the rate as a share, 0 to 1, of what all entries may send a
-// second. A share that is not in that range counts as 0, a rate below 0 too.
+// SetRate sets the rate to a share, 0 to 1, of the bytes that all entries together
+// may send per second. A share outside that range or a negative rate sets the
+// rate to 0.
 func (b *Budget) SetRate(all unit.Bytes, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,55 +57,56 @@
 	}
 }
 
-// Admit admits a body of a size that must be sent within a time, or returns
-// nil and when to come back. A body without an announced size must be given
-// as the largest that is taken.
+// Admit admits a body of the given size that must be sent within a time, or
+// returns nil and the time after which to retry. For a body without a declared
+// size, the caller must pass the largest size that it accepts.
 func (b *Budget) Admit(size unit.Bytes, within time.Duration) (body *Body, retryAfter time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if size < 0 || within <= 0 {
 		return nil, retryWait
 	}
-	needed := float64(size) / within.Seconds()
-	if b.needed+needed > b.bodyRate() {
+	required := float64(size) / within.Seconds()
+	if b.reserved+required > b.bodyRate() {
 		return nil, retryWait
 	}
-	b.needed += needed
-	return &Body{budget: b, needed: needed}, 0
+	b.reserved += required
+	return &Body{budget: b, reserved: required}, 0
 }
 
-// Pass counts a small request or answer, which is sent at once. It is false if
-// small ones alone use up the rate; then nothing may be sent. What is larger than
-// Small must be admitted as a body.
-func (b *Budget) Pass(now time.Time, size unit.Bytes) bool {
+// AdmitSmall charges a small request or response, which may be sent immediately.
+// It returns false if small ones alone exhaust the rate; then it must not be
+// sent. Anything larger than MaxSmall must be admitted as a body.
+func (b *Budget) AdmitSmall(now time.Time, size unit.Bytes) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.take(&b.small, now, size, b.rate*reserve/early, ahead) {
+	if b.advance(&b.smallClock, now, size, b.rate*reserve/burstFactor, maxLead) {
 		return true
 	}
-	return b.take(&b.bodies, now, size, b.bodyRate(), ahead)
+	return b.advance(&b.bodiesClock, now, size, b.bodyRate(), maxLead)
 }
 
-// Small returns the largest size that Pass lets through when nothing else is
-// sent. What is larger must be admitted as a body.
-func (b *Budget) Small() unit.Bytes {
+// MaxSmall returns the largest size that AdmitSmall admits while nothing else is sent.
+// Anything larger must be admitted as a body.
+func (b *Budget) MaxSmall() unit.Bytes {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return unit.Bytes(b.bodyRate() * (ahead - time.Second/chunksPerSecond).Seconds())
+	return unit.Bytes(b.bodyRate() * (maxLead - time.Second/chunksPerSecond).Seconds())
 }
 
-// Next returns how many of the wanted bytes of the body may be sent now. If
-// none, wait tells when to ask again.
+// Next returns how many of the wanted bytes of the body may be sent now. If n is
+// 0, it must be called again after wait.
 func (b *Body) Next(now time.Time, want int) (n int, wait time.Duration) {
 	return b.budget.next(now, want)
 }
 
-// Close gives the body's part of the budget back. Later calls do nothing.
+// Close returns the body's reservation to the budget. Only the first call has an
+// effect.
 func (b *Body) Close() {
 	b.budget.mu.Lock()
 	defer b.budget.mu.Unlock()
-	b.budget.needed -= b.needed
-	b.needed = 0
+	b.budget.reserved -= b.reserved
+	b.reserved = 0
 }
 
 func (b *Budget) next(now time.Time, want int) (n int, wait time.Duration) {
@@ -114,21 +117,23 @@
 		return 0, retryWait
 	}
 	size := min(unit.Bytes(want), b.chunk())
-	if now.Before(b.bodies) {
-		return 0, max(b.bodies.Sub(now), leastWait)
+	if now.Before(b.bodiesClock) {
+		return 0, max(b.bodiesClock.Sub(now), minWait)
 	}
-	b.take(&b.bodies, now, size, rate, 0)
+	b.advance(&b.bodiesClock, now, size, rate, 0)
 	return int(size), 0
 }
 
-// take moves a clock on by the time that size needs at a rate, if the clock is
-// at most lead past now. A clock that lags is set to late before now.
-func (b *Budget) take(clock *time.Time, now time.Time, size unit.Bytes, rate float64, lead time.Duration) bool {
+// advance advances a clock by the time that size takes at a rate. If lead is
+// positive and the clock would be more than lead ahead of now, it returns false
+// and leaves the clock unchanged. A clock that is more than maxCatchUp behind now
+// is first set to that time.
+func (b *Budget) advance(clock *time.Time, now time.Time, size unit.Bytes, rate float64, lead time.Duration) bool {
 	if rate <= 0 {
 		return false
 	}
 	from := *clock
-	if earliest := now.Add(-late); from.Before(earliest) {
+	if earliest := now.Add(-maxCatchUp); from.Before(earliest) {
 		from = earliest
 	}
 	cost := time.Duration(float64(size) / rate * float64(time.Second))
@@ -139,11 +144,11 @@
 	return true
 }
 
-// bodyRate is the rate of the bodies' clock, such that what may be sent early
-// keeps to the whole rate in any second.
+// bodyRate returns the rate of the bodies' clock. It is reduced so that bytes sent
+// ahead of the clock don't exceed the whole rate in any second.
 func (b *Budget) bodyRate() float64 {
 	rate := b.rate*(1-reserve) - 2*float64(b.chunk())
-	return max(rate/early, 0)
+	return max(rate/burstFactor, 0)
 }
 
 func (b *Budget) chunk() unit.Bytes {
--- a/internal/link/budget_test.go
+++ b/internal/link/budget_test.go
@@ -41,7 +41,7 @@
 		"stale":              {danish, at(0, time.Minute), 75 * unit.Mbit},
 		"from the future":    {danish, at(0, -time.Minute), 75 * unit.Mbit},
 		"negative":           {danish, at(-1, 0), 75 * unit.Mbit},
-		"absurd":             {danish, at(math.MaxInt64, 0), 75 * unit.Mbit},
+		"out of range":       {danish, at(math.MaxInt64, 0), 75 * unit.Mbit},
 		"share is NaN":       {with(300*unit.Mbit, math.NaN()), at(0, 0), 0},
 		"share is negative":  {with(300*unit.Mbit, -0.5), at(0, 0), 0},
 		"share is above one": {with(300*unit.Mbit, 1.5), at(0, 0), 0},
@@ -68,7 +68,7 @@
 		"too large":        {10 * unit.MiB, 0.5, 6 * unit.MiB, second, false},
 		"more time":        {10 * unit.MiB, 0.5, 6 * unit.MiB, 2 * second, true},
 		"empty":            {10 * unit.MiB, 0.5, 0, second, true},
-		"unknown size":     {10 * unit.MiB, 0.5, -1, second, false},
+		"negative size":    {10 * unit.MiB, 0.5, -1, second, false},
 		"no time":          {10 * unit.MiB, 0.5, 1, 0, false},
 		"negative time":    {10 * unit.MiB, 0.5, 1, -second, false},
 		"share is NaN":     {10 * unit.MiB, math.NaN(), 1, second, false},
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestCloseGivesRoomBack(t *testing.T) {
+func TestCloseReturnsReservationOnce(t *testing.T) {
 	is := is.New(t)
 	var b link.Budget
 	b.SetRate(10*unit.MiB, 1)
@@ -102,10 +102,10 @@
 	second, _ := b.Admit(8*unit.MiB, time.Second)
 	is.True(second != nil)
 	third, _ := b.Admit(8*unit.MiB, time.Second)
-	is.True(third == nil) // the second Close gave nothing
+	is.True(third == nil) // the second Close had no effect
 }
 
-func TestBodyGetsFullRateBack(t *testing.T) {
+func TestRemainingBodyGetsFullRate(t *testing.T) {
 	is := is.New(t)
 	var b link.Budget
 	b.SetRate(10_000_000, 0.1)
@@ -129,15 +129,16 @@
 	is.True(both[0]+both[1] > 1_800_000)
 }
 
-// traffic is what entries sent over one direction in each millisecond.
+// traffic records the bytes sent over one direction in each millisecond.
 type traffic struct {
 	ours, foreign, small []float64
-	limit                []float64 // bytes a second for all entries together
-	delay                []float64 // seconds that a byte waits in the link
+	limit                []float64 // bytes per second for all entries together
+	delay                []float64 // queueing delay in the link, in seconds
 }
 
-// drive runs seven entries for a time, with the foreign traffic measured 5 s
-// late, the entries' shares uneven, and bodies that want as much as they get.
+// drive simulates seven entries with unequal shares, foreign traffic whose
+// measurements are delayed by 5 s, and, if bodies is set, bodies that always have
+// data to send.
 func drive(length time.Duration, bodies bool, seed uint64) *traffic {
 	r := rand.New(rand.NewPCG(seed, 2))
 	const entries, lag = 7, 5000
@@ -149,7 +150,7 @@
 	for ms := range int(length / time.Millisecond) {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms%1000 == 0 {
-			slope = (r.Float64() - 0.5) * 0.016 // of the capacity, a second
+			slope = (r.Float64() - 0.5) * 0.016 // share of the capacity per second
 		}
 		foreign = min(max(foreign+slope/1000, 0.1), 0.9)
 		tr.foreign = append(tr.foreign, foreign*capacity/1000)
@@ -170,7 +171,7 @@
 		}
 		ours, small := 0.0, 0.0
 		for i := range budgets {
-			if r.IntN(20) == 0 && budgets[i].Pass(now, 800) {
+			if r.IntN(20) == 0 && budgets[i].AdmitSmall(now, 800) {
 				small += 800
 			}
 			if !bodies {
@@ -191,7 +192,7 @@
 	return tr
 }
 
-func TestNeverOverInAnySecond(t *testing.T) {
+func TestRateHoldsInAnySecond(t *testing.T) {
 	for seed := range uint64(2) {
 		tr := drive(60*time.Second, true, seed)
 		capacity := float64(danish.Capacity.BytesPerSecond())
@@ -205,10 +206,10 @@
 			}
 			highest := slices.Max(tr.limit[max(ms-999, 0)/100 : ms/100+1])
 			if ours > highest+1e-3 {
-				t.Fatalf("seed %d: second to %d ms has %.0f bytes, limit %.0f", seed, ms, ours, highest)
+				t.Fatalf("seed %d: second up to %d ms has %.0f bytes, limit %.0f", seed, ms, ours, highest)
 			}
 			if all > capacity+1e-3 {
-				t.Fatalf("seed %d: second to %d ms has %.0f bytes in all, capacity %.0f", seed, ms, all, capacity)
+				t.Fatalf("seed %d: second up to %d ms has %.0f bytes in total, capacity %.0f", seed, ms, all, capacity)
 			}
 			sent += tr.ours[ms]
 			allowed += tr.limit[ms/100] / 1000
@@ -220,7 +221,7 @@
 	}
 }
 
-func TestSmallRequestsDoNotWait(t *testing.T) {
+func TestSmallRequestsDoNotWaitForBodies(t *testing.T) {
 	for seed := range uint64(2) {
 		empty, full := drive(30*time.Second, false, seed), drive(30*time.Second, true, seed)
 		e, f := p99(empty), p99(full)
@@ -231,8 +232,8 @@
 	}
 }
 
-// p99 returns the 99th percentile of the time that a small request and its
-// answer take over the link, of two one-way delays and the wait in it.
+// p99 returns the 99th percentile of the round-trip time of a small request over
+// the link: two one-way delays of 20 ms and the queueing delay.
 func p99(tr *traffic) float64 {
 	var times []float64
 	for ms, small := range tr.small {
@@ -244,8 +245,8 @@
 	return times[len(times)*99/100]
 }
 
-// Bytes in any second stay within the rate for any pattern of calls.
-func TestBudgetHoldsForAnyCalls(t *testing.T) {
+// The bytes in any second must stay within the rate for any sequence of calls.
+func TestRateHoldsForAnyCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b link.Budget
 		rate := rapid.IntRange(10_000, 50_000_000).Draw(t, "rate")
@@ -266,7 +267,7 @@
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
 				size := rapid.IntRange(1, 4000).Draw(t, "size")
-				if b.Pass(now, unit.Bytes(size)) {
+				if b.AdmitSmall(now, unit.Bytes(size)) {
 					all = append(all, sent{at, size})
 				}
 			default:
@@ -306,30 +307,30 @@
 	}
 }
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkAdmitSmall(b *testing.B) {
 	var budget link.Budget
 	budget.SetRate(unit.GiB, 1)
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Microsecond)
-		budget.Pass(now, 800)
+		budget.AdmitSmall(now, 800)
 	}
 }
 
-func TestNextAndPassDoNotAllocate(t *testing.T) {
+func TestNextAndAdmitSmallDoNotAllocate(t *testing.T) {
 	is := is.New(t)
 	var budget link.Budget
 	budget.SetRate(unit.GiB, 1)
 	body, _ := budget.Admit(1, time.Hour)
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		body.Next(start, 1<<20)
-		budget.Pass(start, 800)
+		budget.AdmitSmall(start, 800)
 	}), 0.0)
 }
 
-// A request of the size Small passes beside bodies that use the whole rate.
-func TestSmallPassesBesideBodies(t *testing.T) {
+// A request of size MaxSmall is admitted while bodies use the whole rate.
+func TestMaxSmallIsAdmittedWhileBodiesUseWholeRate(t *testing.T) {
 	is := is.New(t)
 	var budget link.Budget
 	budget.SetRate(3_000_000, 1)
@@ -341,7 +342,7 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	is.True(budget.Small() > 40_000)
-	is.True(budget.Pass(now, budget.Small()))
-	is.True(!budget.Pass(now, budget.Small()))
+	is.True(budget.MaxSmall() > 40_000)
+	is.True(budget.AdmitSmall(now, budget.MaxSmall()))
+	is.True(!budget.AdmitSmall(now, budget.MaxSmall()))
 }
--- a/internal/link/doc.go
+++ b/internal/link/doc.go
@@ -1,21 +1,21 @@
-// Package link keeps the entries' traffic between two regions within a budget.
+// Package link limits the entries' traffic between two regions to a budget.
 //
-// A link carries traffic that isn't ours too, which is measured late. The
-// entries together may use at most their part of the capacity, and at most
-// what the last measurement left, less a margin for what has changed since.
-// [Limit] is that budget for one direction; each entry uses its share of it,
-// which comes from the package share.
+// A link also carries traffic of other systems, whose measurements are delayed.
+// The entries together may use at most their configured share of the capacity,
+// and at most the capacity that the last measurement left free, less a margin
+// for changes since then. [Limit] computes this budget for one direction. Each
+// entry uses its share of it, which comes from the package share.
 //
-// A [Budget] is one entry's share toward one region. Bodies of uploads are
-// admitted by size: one for which there is no room within its deadline is
-// refused at once, unsent. Admitted bodies are paced in small chunks by
-// [Body.Next], which tells how many bytes may go now and else how long to wait;
-// all bodies together get the whole budget while they have data. Small requests
-// and answers never wait behind a body: [Budget.Pass] lets them through and
-// puts the bodies off instead, from a reserve first.
+// A [Budget] is one entry's share toward one region. The bodies of uploads are
+// admitted by size: a body that can't be sent within its deadline is refused
+// before any of it is sent. Admitted bodies are paced in small chunks by
+// [Body.Next], which returns how many bytes may be sent now or how long to wait.
+// Bodies with data to send use the whole budget. Small requests and responses
+// never wait behind a body: [Budget.AdmitSmall] admits them immediately, first
+// from a reserve and then by delaying the bodies.
 //
-// In any one second the bytes of bodies and small requests together stay
-// within the highest rate that was in force in that second.
+// In any interval of one second, the bytes of bodies and small requests together
+// stay within the highest rate that was set during that second.
 //
 // # Usage
 //
