--- a/internal/loads/board.go
+++ b/internal/loads/board.go
@@ -8,12 +8,13 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
+// maxUses is the maximum number of uses in a report; further ones are ignored.
 const maxUses = 10_000
 
 type (
-	// Use is what one entry uses of one service in one region.
+	// Use is the number of slots of a service that an entry uses in a region.
 	Use struct {
-		// Service names the service.
+		// Service is the name of the service.
 		Service id.Service
 		// Region is the region of the backend servers.
 		Region id.Region
@@ -21,14 +22,14 @@
 		Slots int
 	}
 
-	// Board keeps the latest word of each entry. The zero Board is empty. It
-	// is safe for concurrent use.
+	// Board stores the latest report of each entry. The zero Board is empty.
+	// A Board is safe for concurrent use.
 	Board struct {
 		mu      sync.Mutex
-		entries map[id.Instance]word
+		entries map[id.Instance]report
 	}
 
-	word struct {
+	report struct {
 		at   time.Time
 		uses map[key]int
 	}
@@ -39,26 +40,26 @@
 	}
 )
 
-// Take takes in what an entry says at now. Negative and surplus numbers are
-// left out.
+// Take stores the uses that an entry reported at now. Negative numbers, and uses
+// beyond the first 10,000, are ignored.
 func (b *Board) Take(from id.Instance, now time.Time, uses []Use) {
-	w := word{at: now, uses: map[key]int{}}
+	r := report{at: now, uses: map[key]int{}}
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		if u.Slots > 0 {
-			w.uses[key{u.Service, u.Region}] += u.Slots
+			r.uses[key{u.Service, u.Region}] += u.Slots
 		}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.entries == nil {
-		b.entries = map[id.Instance]word{}
+		b.entries = map[id.Instance]report{}
 	}
-	b.entries[from] = w
+	b.entries[from] = r
 }
 
-// Region returns the load of a region: the slots that the given entries use as
-// a share of its slots. It is missing if one of them has said nothing yet or
-// if there are no slots.
+// Region returns the load of a region: the slots that the given entries use, as a
+// share of its slots. The value is missing if one of the entries has not
+// reported yet, or if there are no entries or no slots.
 func (b *Board) Region(service id.Service, region id.Region, slots int, entries []id.Instance) measured.Value[float64] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,13 +68,13 @@
 		oldest time.Time
 	)
 	for _, name := range entries {
-		w, ok := b.entries[name]
+		r, ok := b.entries[name]
 		if !ok {
 			return measured.Value[float64]{}
 		}
-		sum += w.uses[key{service, region}]
-		if oldest.IsZero() || w.at.Before(oldest) {
-			oldest = w.at
+		sum += r.uses[key{service, region}]
+		if oldest.IsZero() || r.at.Before(oldest) {
+			oldest = r.at
 		}
 	}
 	if oldest.IsZero() || slots <= 0 {
--- a/internal/loads/board_test.go
+++ b/internal/loads/board_test.go
@@ -11,29 +11,29 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestRegion(t *testing.T) {
+func TestRegionSumsLiveEntries(t *testing.T) {
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	use := func(n int) []loads.Use { return []loads.Use{{Service: "registry", Region: "fyn", Slots: n}} }
 	tests := map[string]struct {
-		words   map[id.Instance][]loads.Use
+		reports map[id.Instance][]loads.Use
 		entries []id.Instance
 		slots   int
 		want    float64
 		state   measured.State
 	}{
-		"sum over entries":      {words: map[id.Instance][]loads.Use{"a": use(3), "b": use(2)}, entries: []id.Instance{"a", "b"}, slots: 10, want: 0.5, state: measured.Fresh},
-		"dead entries left out": {words: map[id.Instance][]loads.Use{"a": use(3), "b": use(2)}, entries: []id.Instance{"a"}, slots: 10, want: 0.3, state: measured.Fresh},
-		"one said nothing":      {words: map[id.Instance][]loads.Use{"a": use(3)}, entries: []id.Instance{"a", "b"}, slots: 10},
-		"no entries":            {slots: 10},
-		"no slots":              {words: map[id.Instance][]loads.Use{"a": use(3)}, entries: []id.Instance{"a"}},
-		"negative use":          {words: map[id.Instance][]loads.Use{"a": use(-3)}, entries: []id.Instance{"a"}, slots: 10, state: measured.Fresh},
-		"other region":          {words: map[id.Instance][]loads.Use{"a": {{Service: "registry", Region: "jylland", Slots: 9}}}, entries: []id.Instance{"a"}, slots: 10, state: measured.Fresh},
+		"sum over entries": {reports: map[id.Instance][]loads.Use{"a": use(3), "b": use(2)}, entries: []id.Instance{"a", "b"}, slots: 10, want: 0.5, state: measured.Fresh},
+		"entry not listed": {reports: map[id.Instance][]loads.Use{"a": use(3), "b": use(2)}, entries: []id.Instance{"a"}, slots: 10, want: 0.3, state: measured.Fresh},
+		"missing report":   {reports: map[id.Instance][]loads.Use{"a": use(3)}, entries: []id.Instance{"a", "b"}, slots: 10},
+		"no entries":       {slots: 10},
+		"no slots":         {reports: map[id.Instance][]loads.Use{"a": use(3)}, entries: []id.Instance{"a"}},
+		"negative use":     {reports: map[id.Instance][]loads.Use{"a": use(-3)}, entries: []id.Instance{"a"}, slots: 10, state: measured.Fresh},
+		"other region":     {reports: map[id.Instance][]loads.Use{"a": {{Service: "registry", Region: "jylland", Slots: 9}}}, entries: []id.Instance{"a"}, slots: 10, state: measured.Fresh},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var b loads.Board
-			for from, uses := range tt.words {
+			for from, uses := range tt.reports {
 				b.Take(from, now, uses)
 			}
 			got, state := b.Region("registry", "fyn", tt.slots, tt.entries).Read(now, time.Second)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestRegionIsAsOldAsTheOldestWord(t *testing.T) {
+func TestRegionHasAgeOfOldestReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	var b loads.Board
--- a/internal/loads/doc.go
+++ b/internal/loads/doc.go
@@ -1,11 +1,11 @@
-// Package loads sums up how much of each region's slots all entries together
+// Package loads aggregates the slots of each region that all entries together
 // have in use.
 //
-// Each entry tells the others in its heartbeats how many slots of each service
-// it uses in each region, as [Use]. A [Board] keeps the latest word of each
-// entry with its time. A region's load is the sum over the entries that are
-// alive; it is as old as the oldest word in it, and missing while an entry that
-// is alive has said nothing, so that a policy never takes a part for the whole.
+// Each entry reports in its heartbeats how many slots of each service it uses in
+// each region, as [Use]. A [Board] stores the latest report of each entry with
+// its time. The load of a region is the sum over the live entries. Its age is
+// that of the oldest report in it. It is missing while a live entry has not
+// reported, so that a policy never acts on a partial sum.
 //
 // # Usage
 //
--- a/internal/loads/uses.go
+++ b/internal/loads/uses.go
@@ -8,15 +8,15 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Uses lists what one entry uses. In messages it is grouped by service and
-// region, as in {"registry":{"fyn":12}}, and has neither order nor uses of no
-// slots.
+// Uses lists the uses of one entry. It is encoded in JSON as an object by service
+// and region, such as {"registry":{"fyn":12}}. The encoding doesn't preserve
+// order and omits uses without slots.
 type Uses []Use
 
-// grouped is the form of Uses in messages.
+// grouped is the JSON form of Uses.
 type grouped map[id.Service]map[id.Region]int
 
-// MarshalJSON encodes the uses grouped by service and region.
+// MarshalJSON implements json.Marshaler.
 func (u Uses) MarshalJSON() ([]byte, error) {
 	out := grouped{}
 	for _, use := range u {
@@ -31,7 +31,7 @@
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON decodes what MarshalJSON encodes.
+// UnmarshalJSON implements json.Unmarshaler.
 func (u *Uses) UnmarshalJSON(data []byte) error {
 	var in grouped
 	if err := json.Unmarshal(data, &in); err != nil {
--- a/internal/loads/uses_test.go
+++ b/internal/loads/uses_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestUsesInMessages(t *testing.T) {
+func TestUsesJSONRoundTrip(t *testing.T) {
 	is := is.New(t)
 	uses := loads.Uses{
 		{Service: "registry", Region: "fyn", Slots: 12}, {Service: "registry", Region: "fyn", Slots: 3},
@@ -21,13 +21,13 @@
 	is.NoErr(err)
 	is.Equal(string(data), `{"registry":{"fyn":15,"jylland":4}}`)
 
-	// A board comes to the same loads by either form.
-	var heard loads.Uses
-	is.NoErr(json.Unmarshal(data, &heard))
+	// A board computes the same loads from the original and the decoded uses.
+	var decodedUses loads.Uses
+	is.NoErr(json.Unmarshal(data, &decodedUses))
 	now := time.Now()
 	var direct, decoded loads.Board
 	direct.Take("entry-1", now, uses)
-	decoded.Take("entry-1", now, heard)
+	decoded.Take("entry-1", now, decodedUses)
 	for _, region := range []id.Region{"fyn", "jylland", "sjaelland"} {
 		for _, service := range []id.Service{"registry", "reports"} {
 			want, _ := direct.Region(service, region, 30, []id.Instance{"entry-1"}).Read(now, time.Hour)
