--- a/internal/shift/gate_test.go
+++ b/internal/shift/gate_test.go
@@ -116,7 +116,7 @@
 	entries  []*entry
 	plan     *share.Plan
 	answers  []answer
-	asks     []share.Ask
+	asks     []share.Request
 	admitted []time.Duration
 }
 
@@ -156,7 +156,7 @@
 		if e.died.IsZero() {
 			e.number++
 			e.sent = w.now
-			w.asks = append(w.asks, share.Ask{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(w.now) / w.rise), Demand: float64(e.demand)})
+			w.asks = append(w.asks, share.Request{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(w.now) / w.rise), Demand: float64(e.demand)})
 		}
 	case 3, 4: // one waiting ask arrives, any of them
 		if k := len(w.asks); k > 0 {
