--- a/internal/shift/doc.go
+++ b/internal/shift/doc.go
@@ -1,27 +1,28 @@
-// Package shift caps how fast the requests toward a region may rise, over all
-// entries together.
+// Package shift limits how fast the request rate of all entries toward a region
+// may rise.
 //
-// What is counted is each request that an entry admits toward the region's
-// backend servers, resends included, at the time of admission. The cap holds
-// when for every moment t, on any window length W of the service file,
+// Each request that an entry admits toward the region's backend servers counts,
+// including retries, at the time of admission. The cap holds if for every time t
+// and the window length W of the service file
 //
 //	admitted in (t, t+W]  <=  admitted in (t-W, t]  +  rise * W
 //
-// so a rise is the difference between the mean rates of two adjacent windows.
+// so that the rise is the difference between the mean rates of two adjacent
+// windows.
 //
-// Each entry has a share of the rise and a [Gate] that holds the same rule for
-// the entry's own admissions with its own share. Both sides of the rule are
-// sums over the entries, so the rule holds for all of them together whenever
-// the shares in force at t sum to at most the rise. No entry needs to know
-// what another admits, so late news, lost news, a dead entry and callers that
-// use cached look-ups can't break the cap.
+// Each entry has a share of the rise and a [Gate] that enforces the same
+// inequality for the entry's own admissions and share. Both sides are sums over
+// the entries, so the inequality holds for all entries together if the shares
+// that are active at t sum to at most the rise. It doesn't depend on information
+// about the admissions of other entries, so delayed or lost messages, failed
+// entries and callers that use cached lookups can't violate the cap.
 //
-// A share counts for the windows that start while it is in force. A lower
-// share counts at once; a higher one from the next bucket of the window on.
+// A share applies to the windows that start while it is active. A lower share
+// applies immediately, a higher one from the next bucket of the window.
 //
 // Shares come from [github.com/shallotpier/shallotpier/internal/share]: each
-// entry has a floor, and grants that run out at the entry move the rest to
-// where requests are held back.
+// entry has a floor, and grants that expire at the entry assign the remainder to
+// the entries that refuse requests.
 //
 // # Usage
 //
@@ -32,6 +33,6 @@
 //		return refused(result.ShiftCapped, retryAfter)
 //	}
 //
-//	// when the answer to the entry's latest ask comes in
-//	gate.Grant(now, unit.Rate(grant.Share)*rise, askSent.Add(share.GrantTime))
+//	// on the response to the entry's latest request for a share
+//	gate.Grant(now, unit.Rate(grant.Share)*rise, requestSent.Add(share.GrantTime))
 package shift
--- a/internal/shift/gate.go
+++ b/internal/shift/gate.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// buckets is the number of buckets in a window. Counts are kept by bucket,
-	// and a bucket that a window cuts counts against the entry.
+	// buckets is the number of buckets in a window. Admissions are counted per
+	// bucket, and a bucket that lies partly in a window is counted to the
+	// disadvantage of the entry.
 	buckets = 128
 	ring    = 2*buckets + 2
-	// stripes is the number of counters that a bucket's admissions are spread
-	// over, so that threads don't share one.
+	// stripes is the number of counters over which the admissions of a bucket
+	// are spread, to avoid contention between threads.
 	stripes = 16
-	// closed marks a stripe that gives no more admissions.
+	// closed marks a stripe of a bucket that has ended.
 	closed = math.MinInt64
-	// cacheLine is the size in bytes of what two processors contend for.
+	// cacheLine is the size of a cache line in bytes.
 	cacheLine = 64
 )
 
 type (
-	// Gate holds one entry's share of the cap toward one region. It is safe
-	// for concurrent use; an admission is one compare-and-swap on a counter that
-	// few threads share, and a lock is taken once a bucket.
+	// Gate enforces one entry's share of the cap toward one region. It is safe
+	// for concurrent use. An admission is one compare-and-swap on a counter
+	// shared by few threads; a lock is taken once per bucket.
 	Gate struct {
-		window  time.Duration
-		width   time.Duration
-		epoch   time.Time
-		current atomic.Pointer[bucket]
-		hints   sync.Pool // of *hint, by processor
+		window       time.Duration
+		width        time.Duration
+		epoch        time.Time
+		current      atomic.Pointer[bucket]
+		startStripes sync.Pool // of *startStripe, cached per processor
 
 		mu     sync.Mutex
 		floor  unit.Rate
@@ -42,13 +43,14 @@
 		shares [ring]unit.Rate
 	}
 
-	// bucket is a part of the window, or of a bucket after the share changed.
+	// bucket is one part of the window, or the rest of one after the share has
+	// been lowered.
 	bucket struct {
-		index   int64
-		allow   int64
-		earlier int64 // admitted in the same part of the window before
-		empty   atomic.Bool
-		stripes [stripes]stripe
+		index     int64
+		allow     int64
+		earlier   int64 // admitted in the same part of the window before the share was lowered
+		exhausted atomic.Bool
+		stripes   [stripes]stripe
 	}
 
 	stripe struct {
@@ -56,19 +58,19 @@
 		_    [cacheLine - 8]byte
 	}
 
-	// hint is the stripe that a processor begins with.
-	hint struct{ stripe uint32 }
+	// startStripe is the stripe that a processor tries first.
+	startStripe struct{ stripe uint32 }
 )
 
-// NewGate returns a gate that holds its floor, in requests a second. The floor
-// was reserved for this entry, and used by no other process, since reserved.
-// Windows that start before reserved have no share, so that a process that
-// takes over a floor at now may admit nothing for the length of one window.
+// NewGate returns a gate with a floor in requests per second. The floor has been
+// reserved for this entry, and used by no other process, since reserved. Windows
+// that start before reserved have a share of 0, so that a process that takes over
+// a floor at now admits no requests for the length of one window.
 func NewGate(window time.Duration, floor unit.Rate, now, reserved time.Time) *Gate {
-	g := &Gate{window: window, width: max(window/buckets, 1), floor: valid(floor)}
+	g := &Gate{window: window, width: max(window/buckets, 1), floor: validRate(floor)}
 	g.epoch = now.Add(-ring * g.width)
 	var next atomic.Uint32
-	g.hints.New = func() any { return &hint{next.Add(1) % stripes} }
+	g.startStripes.New = func() any { return &startStripe{next.Add(1) % stripes} }
 	k := g.index(now)
 	for i := max(k-ring, g.index(reserved)) + 1; i <= k; i++ {
 		g.shares[slot(i)] = g.floor
@@ -77,11 +79,11 @@
 	return g
 }
 
-// Admit counts one request toward the region, or refuses it and tells after
-// which time the gate may admit more.
+// Admit counts one request toward the region, or refuses it and returns the time
+// after which the gate may admit more.
 func (g *Gate) Admit(now time.Time) (ok bool, retryAfter time.Duration) {
-	h, _ := g.hints.Get().(*hint)
-	defer g.hints.Put(h)
+	h, _ := g.startStripes.Get().(*startStripe)
+	defer g.startStripes.Put(h)
 	for {
 		b := g.at(now)
 		ok, again := b.take(h.stripe)
@@ -96,20 +98,20 @@
 	}
 }
 
-// Grant puts a share in force until a time, in requests a second; a share that
-// is below the floor or not finite counts as the floor. A pause of the process
-// doesn't prolong it: what is admitted later is held against the floor.
+// Grant activates a share in requests per second until the given time. A share
+// that is below the floor or not finite counts as the floor. A pause of the
+// process doesn't extend the grant: later admissions are limited by the floor.
 func (g *Gate) Grant(now time.Time, share unit.Rate, until time.Time) {
-	g.change(now, func() { g.share, g.until = valid(share), until })
+	g.change(now, func() { g.share, g.until = validRate(share), until })
 }
 
-// SetFloor changes the share that the entry has without a grant, in requests
-// a second.
+// SetFloor changes the share that the entry has without a grant, in requests per
+// second.
 func (g *Gate) SetFloor(now time.Time, floor unit.Rate) {
-	g.change(now, func() { g.floor = valid(floor) })
+	g.change(now, func() { g.floor = validRate(floor) })
 }
 
-// Share returns the share in force at now in requests a second.
+// Share returns the share that is active at now, in requests per second.
 func (g *Gate) Share(now time.Time) unit.Rate {
 	b := g.at(now)
 	g.mu.Lock()
@@ -138,8 +140,8 @@
 	return max(g.share, g.floor)
 }
 
-// at returns the bucket of now. A time before the current bucket counts as in
-// it.
+// at returns the bucket of now. A time before the current bucket is treated as
+// part of it.
 func (g *Gate) at(now time.Time) *bucket {
 	b := g.current.Load()
 	if g.index(now) <= b.index {
@@ -159,7 +161,7 @@
 	return g.open(k, 0)
 }
 
-// open begins bucket k, of which some was admitted before.
+// open starts bucket k, in which earlier requests have already been admitted.
 func (g *Gate) open(k, earlier int64) *bucket {
 	g.counts[slot(k)] = 0
 	b := &bucket{index: k, earlier: earlier, allow: max(g.allowance(k)-earlier, 0)}
@@ -174,10 +176,10 @@
 	return b
 }
 
-// take takes one admission, from the given stripe if it has one left. It must
-// be tried again on the next bucket if this one is closed.
+// take takes one admission, preferably from the given stripe. If again is set, the
+// bucket has ended and the caller must retry with the current one.
 func (b *bucket) take(first uint32) (ok, again bool) {
-	if b.empty.Load() {
+	if b.exhausted.Load() {
 		return false, false
 	}
 	for k := range uint32(stripes) {
@@ -191,12 +193,12 @@
 			}
 		}
 	}
-	b.empty.Store(true)
+	b.exhausted.Store(true)
 	return false, false
 }
 
-// close ends the bucket and returns all that was admitted in its part of the
-// window.
+// close ends the bucket and returns the number of requests admitted in its part
+// of the window.
 func (b *bucket) close() int64 {
 	used := b.earlier + b.allow
 	for i := range b.stripes {
@@ -205,8 +207,9 @@
 	return used
 }
 
-// allowance returns how many admissions bucket k may take: the smallest room
-// over all windows that start in one of the last buckets and reach into k.
+// allowance returns the number of requests that may be admitted in bucket k: the
+// minimum over all windows that start in one of the preceding buckets and
+// include k.
 func (g *Gate) allowance(k int64) int64 {
 	var since, before int64
 	for j := k - buckets + 1; j < k; j++ {
@@ -226,7 +229,7 @@
 
 func slot(i int64) int64 { return ((i % ring) + ring) % ring }
 
-func valid(r unit.Rate) unit.Rate {
+func validRate(r unit.Rate) unit.Rate {
 	if !(r > 0) || math.IsInf(float64(r), 0) {
 		return 0
 	}
--- a/internal/shift/gate_test.go
+++ b/internal/shift/gate_test.go
@@ -27,15 +27,15 @@
 	tests := map[string]struct {
 		floor, grant unit.Rate
 		until        time.Duration
-		want         int // admitted at once, two windows later
+		want         int // requests admitted two windows later
 	}{
 		"floor alone":         {floor: 10, want: 40},
 		"no floor":            {},
 		"NaN floor":           {floor: unit.Rate(math.NaN())},
 		"negative floor":      {floor: -1},
 		"infinite floor":      {floor: unit.Rate(math.Inf(1))},
-		"grant in force":      {floor: 10, grant: 20, until: time.Minute, want: 80},
-		"grant run out":       {floor: 10, grant: 20, until: -time.Second, want: 40},
+		"grant active":        {floor: 10, grant: 20, until: time.Minute, want: 80},
+		"grant expired":       {floor: 10, grant: 20, until: -time.Second, want: 40},
 		"grant below floor":   {floor: 10, grant: 1, until: time.Minute, want: 40},
 		"NaN grant":           {floor: 10, grant: unit.Rate(math.NaN()), until: time.Minute, want: 40},
 		"negative grant":      {floor: 10, grant: -5, until: time.Minute, want: 40},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestGateNewHolderWaits(t *testing.T) {
+func TestGateAdmitsNothingInFirstWindowAfterTakeover(t *testing.T) {
 	is := is.New(t)
 	g := shift.NewGate(window, 10, start, start)
 	is.Equal(admitAll(g, start), 0)
@@ -60,13 +60,13 @@
 	is.Equal(admitAll(g, start.Add(window+window/64)), 40)
 }
 
-func TestGateRiseByWindow(t *testing.T) {
+func TestGateRisesByAtMostCapPerWindow(t *testing.T) {
 	is := is.New(t)
 	g := shift.NewGate(window, 10, start, start.Add(-3*window))
 	var got []int
 	for w := range 4 {
 		n := 0
-		for i := range 400 { // demand far over the cap
+		for i := range 400 { // demand far above the cap
 			if ok, _ := g.Admit(start.Add(time.Duration(w)*window + time.Duration(i)*window/400)); ok {
 				n++
 			}
@@ -75,16 +75,16 @@
 	}
 	is.Equal(got[0], 40)
 	for w := 1; w < 4; w++ {
-		is.True(got[w] > got[w-1])     // it rises
+		is.True(got[w] > got[w-1])     // the rate rises
 		is.True(got[w] <= got[w-1]+40) // by at most the cap
 	}
 }
 
-func TestGateClockStepsBack(t *testing.T) {
+func TestGateAdmitsNothingMoreWhenClockStepsBack(t *testing.T) {
 	is := is.New(t)
 	g := shift.NewGate(window, 10, start, start.Add(-3*window))
 	is.Equal(admitAll(g, start.Add(window)), 40)
-	is.Equal(admitAll(g, start), 0) // an earlier time opens nothing
+	is.Equal(admitAll(g, start), 0) // an earlier time gives no further admissions
 }
 
 func TestGateCountsAllConcurrentAdmissions(t *testing.T) {
@@ -107,8 +107,8 @@
 	is.Equal(admitted.Load(), int64(limit))
 }
 
-// world is a set of entries with their gates, one plan, and messages between
-// them that are lost, late and out of order.
+// world simulates entries with their gates, one plan, and messages between them
+// that are lost, delayed, duplicated and reordered.
 type world struct {
 	t        *rapid.T
 	now      time.Time
@@ -116,7 +116,7 @@
 	entries  []*entry
 	plan     *share.Plan
 	answers  []answer
-	asks     []share.Request
+	requests []share.Request
 	admitted []time.Duration
 }
 
@@ -152,24 +152,24 @@
 	i := rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")
 	e := w.entries[i]
 	switch rapid.IntRange(0, 9).Draw(w.t, "event") {
-	case 0, 1, 2: // the entry asks; the ask waits in the network
+	case 0, 1, 2: // the entry sends a request for its share
 		if e.died.IsZero() {
 			e.number++
 			e.sent = w.now
-			w.asks = append(w.asks, share.Request{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(w.now) / w.rise), Demand: float64(e.demand)})
+			w.requests = append(w.requests, share.Request{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(w.now) / w.rise), Demand: float64(e.demand)})
 		}
-	case 3, 4: // one waiting ask arrives, any of them
-		if k := len(w.asks); k > 0 {
-			at := rapid.IntRange(0, k-1).Draw(w.t, "ask")
-			ask := w.asks[at]
-			if rapid.Bool().Draw(w.t, "kept") { // else it is duplicated later
-				w.asks = append(w.asks[:at], w.asks[at+1:]...)
+	case 3, 4: // any pending request arrives at the plan
+		if k := len(w.requests); k > 0 {
+			at := rapid.IntRange(0, k-1).Draw(w.t, "request")
+			req := w.requests[at]
+			if rapid.Bool().Draw(w.t, "kept") { // otherwise it is duplicated
+				w.requests = append(w.requests[:at], w.requests[at+1:]...)
 			}
-			if grant, ok := w.plan.Answer(w.now, ask); ok {
-				w.answers = append(w.answers, answer{w.find(ask.Holder.Instance), ask.Holder, grant})
+			if grant, ok := w.plan.Answer(w.now, req); ok {
+				w.answers = append(w.answers, answer{w.find(req.Holder.Instance), req.Holder, grant})
 			}
 		}
-	case 5, 6: // one waiting answer arrives
+	case 5, 6: // any pending response arrives at its entry
 		if k := len(w.answers); k > 0 {
 			at := rapid.IntRange(0, k-1).Draw(w.t, "answer")
 			a := w.answers[at]
@@ -179,7 +179,7 @@
 				to.gate.Grant(w.now, w.rate(a.grant.Share), to.sent.Add(share.GrantTime))
 			}
 		}
-	case 7: // the entry dies, or a new process takes its place
+	case 7: // the entry stops, or a new process replaces it
 		if e.died.IsZero() {
 			e.died = w.now
 		} else {
@@ -187,9 +187,9 @@
 			e.gate = shift.NewGate(window, w.rate(share.Floor(len(w.entries))), w.now, e.died)
 			e.number, e.died = 0, time.Time{}
 		}
-	case 8: // another region fails: its callers come here
+	case 8: // another region fails and its callers use this one
 		e.demand += rapid.IntRange(0, 90).Draw(w.t, "more")
-	case 9: // demand falls, or a pause
+	case 9: // demand changes and the process pauses
 		e.demand = rapid.IntRange(0, 90).Draw(w.t, "less")
 		e.paused = w.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "pause")) * time.Second)
 	}
@@ -206,8 +206,8 @@
 	return 0
 }
 
-// run lets time pass while the entries' callers send, also those that hold a
-// cached look-up and so keep sending to a region that is full.
+// run advances the time while callers send requests, including callers with a
+// cached lookup that continue to send to a region at its cap.
 func (w *world) run() {
 	for range rapid.IntRange(1, 12).Draw(w.t, "ticks") {
 		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(w.t, "ms")) * time.Millisecond)
@@ -224,8 +224,8 @@
 	}
 }
 
-// checkShares holds the sum of the shares in force, those of paused entries
-// too.
+// checkShares checks that the sum of the active shares, including those of paused
+// entries, is within the rise.
 func (w *world) checkShares() {
 	sum := unit.Rate(0)
 	for _, e := range w.entries {
@@ -234,11 +234,11 @@
 		}
 	}
 	if sum > w.rise+1e-9 {
-		w.t.Fatalf("shares in force sum to %v for a rise of %v", sum, w.rise)
+		w.t.Fatalf("active shares sum to %v, rise %v", sum, w.rise)
 	}
 }
 
-// check holds the cap on every window that starts or ends at any admission.
+// check checks the cap for every window that starts or ends at an admission.
 func (w *world) check() {
 	times := w.admitted
 	count := func(from, to time.Duration) int { // (from, to]
@@ -250,7 +250,7 @@
 		for _, t := range []time.Duration{at - 1, at, at - window, at - window - 1, at + window} {
 			after, before := count(t, t+window), count(t-window, t)
 			if float64(after) > float64(before)+limit+1e-6 {
-				w.t.Fatalf("window after %s: %d admitted, %d before it, cap %.0f", t, after, before, limit)
+				w.t.Fatalf("window from %s: %d admitted, %d in the window before, cap %.0f", t, after, before, limit)
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 			w.step()
 			w.run()
 			if bound := w.plan.Bound(w.now); bound > 1+1e-9 {
-				t.Fatalf("shares of %v", bound)
+				t.Fatalf("shares sum to %v", bound)
 			}
 			w.checkShares()
 		}
@@ -271,7 +271,7 @@
 	})
 }
 
-func TestSteadyTraffic(t *testing.T) {
+func TestSteadyTrafficIsHardlyRefused(t *testing.T) {
 	if refused := steady(40, 4*time.Minute); refused > 0.01 {
 		t.Errorf("%.2f%% refused", 100*refused)
 	}
@@ -288,8 +288,9 @@
 	}
 }
 
-// steady returns the part of 100 requests a second, Poisson, over 7 entries,
-// that is refused in the second half of a time.
+// steady returns the fraction of requests that are refused in the second half of
+// the simulated time, at 100 requests per second with Poisson arrivals over 7
+// entries.
 func steady(rise unit.Rate, length time.Duration) float64 {
 	const rate, entries = 100, 7
 	r := rand.New(rand.NewPCG(7, 8))
@@ -311,7 +312,7 @@
 	return float64(refused) / float64(sent)
 }
 
-func TestGateLowerShareCountsAtOnce(t *testing.T) {
+func TestGateAppliesLowerShareImmediately(t *testing.T) {
 	is := is.New(t)
 	g := shift.NewGate(window, 10, start, start.Add(-3*window))
 	at := start.Add(2 * window)
@@ -325,7 +326,7 @@
 	}
 	g.SetFloor(at, 0)
 	is.Equal(g.Share(at), unit.Rate(5))
-	is.Equal(admitAll(g, at), 5) // 20 in all
+	is.Equal(admitAll(g, at), 5) // 20 in total
 }
 func admitAll(g *shift.Gate, now time.Time) int {
 	n := 0
