--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -5,10 +5,10 @@
 // of weight 0 are in the last tier regardless of delay. Within a tier requests
 // are split by weight. Each region keeps a fraction of the requests assigned to
 // it and passes the rest to the next tier. The fraction is lowered in steps
-// while the region's load is above [High] and raised in steps while it is below
-// [Low]; in between it doesn't change. After a step, the next step requires a
-// load that was measured after the first one took effect, so that a delayed
-// measurement is never acted on twice.
+// while the region's load is above [HighLoad] and raised in steps while it is
+// below [LowLoad]; in between it doesn't change. After a step, the next step
+// requires a load that was measured after the first one took effect, so that a
+// delayed measurement is never acted on twice.
 //
 // A load that is missing, stale, from the future or out of range is unknown. A
 // region of unknown load keeps its fraction and gets no overflow: no other
@@ -26,7 +26,7 @@
 // # Usage
 //
 //	if steer.Step(now, loads) {
-//		table.Store(placement.NewTable(steer.Parts(), members))
+//		table.Store(placement.NewTable(steer.Shares(), members))
 //	}
 //	buf = table.Load().Order(draw, req.Tried, buf[:0])
 //	for _, server := range buf {
--- a/internal/placement/steer.go
+++ b/internal/placement/steer.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// Low is the load, as a share of slots in use, below which a region keeps
-	// a larger fraction of its requests.
-	Low = 0.60
-	// High is the load above which a region passes more requests to the next
-	// tier.
-	High = 0.85
+	// LowLoad is the load, as a share of slots in use, below which a region
+	// keeps a larger fraction of its requests.
+	LowLoad = 0.60
+	// HighLoad is the load above which a region passes more requests to the
+	// next tier.
+	HighLoad = 0.85
 	// MaxAge is the maximum age of a load measurement that is used.
 	MaxAge = 30 * time.Second
 	// maxLoad is the maximum plausible load. Requests that wait for a slot
 	// count, so the load may exceed 1.
 	maxLoad = 10.0
 
-	targetLoad = (Low + High) / 2
+	targetLoad = (LowLoad + HighLoad) / 2
 	// stepDown and stepUp bound the change of a kept fraction in one step.
 	stepDown = 0.25
 	stepUp   = 0.125
@@ -46,12 +46,12 @@
 		Weight int
 	}
 
-	// Part is the share of an entry's requests for which a region is the first
-	// choice.
-	Part struct {
+	// RegionShare is the share of an entry's requests for which a region is
+	// the first choice.
+	RegionShare struct {
 		// Region is the region's name.
 		Region id.Region
-		// Share is between 0 and 1; the shares of all parts sum to 1.
+		// Share is between 0 and 1; all shares sum to 1.
 		Share float64
 	}
 
@@ -104,7 +104,7 @@
 }
 
 // Step adjusts the split to the regions' loads, each a share of the region's
-// slots, and reports whether the parts changed.
+// slots, and reports whether the split changed.
 func (s *Steer) Step(now time.Time, loads map[id.Region]measured.Value[float64]) bool {
 	changed := false
 	for i := range s.regions {
@@ -117,24 +117,24 @@
 	return changed
 }
 
-// Parts returns the share of each region, nearest region first.
-func (s *Steer) Parts() []Part {
-	parts := make([]Part, len(s.regions))
+// Shares returns the share of each region, nearest region first.
+func (s *Steer) Shares() []RegionShare {
+	shares := make([]RegionShare, len(s.regions))
 	flow := 1.0
-	for i := 0; i < len(parts); {
+	for i := 0; i < len(shares); {
 		end, weights, kept := s.tierFrom(i)
 		whole := weights
-		if end == len(parts) {
+		if end == len(shares) {
 			whole = kept // the last tier has no next tier
 		}
 		rest := flow
 		for k := i; k < end; k++ {
-			parts[k] = Part{Region: s.regions[k].Name, Share: flow * s.weight(k) * s.keep[k] / whole}
-			rest -= parts[k].Share
+			shares[k] = RegionShare{Region: s.regions[k].Name, Share: flow * s.weight(k) * s.keep[k] / whole}
+			rest -= shares[k].Share
 		}
 		flow, i = max(rest, 0), end
 	}
-	return parts
+	return shares
 }
 
 // tierFrom returns the end of the tier that starts at i, the sum of its weights,
@@ -160,9 +160,9 @@
 		wanted = min(s.keep[i]*targetLoad/load, 1)
 	}
 	switch {
-	case load > High && s.overflowHasCapacity(now, i, loads):
+	case load > HighLoad && s.overflowHasCapacity(now, i, loads):
 		return max(wanted, s.keep[i]-stepDown, minKeep)
-	case load < Low:
+	case load < LowLoad:
 		return min(wanted, s.keep[i]+stepUp)
 	default:
 		return s.keep[i]
@@ -191,7 +191,7 @@
 		if k == i || s.tier[k] < s.tier[i] || (s.tier[k] == s.tier[i] && s.tier[k] < last) {
 			continue
 		}
-		if load, ok := readLoad(now, loads[s.regions[k].Name]); ok && load < High {
+		if load, ok := readLoad(now, loads[s.regions[k].Name]); ok && load < HighLoad {
 			return true
 		}
 	}
--- a/internal/placement/steer_test.go
+++ b/internal/placement/steer_test.go
@@ -54,7 +54,7 @@
 func (l *loop) second(offered float64, r *rand.Rand) {
 	load := map[id.Region]float64{home: 0, near: 0.3, far: 0.3}
 	for _, e := range l.entries {
-		for _, p := range e.Parts() {
+		for _, p := range e.Shares() {
 			load[p.Region] += p.Share * offered / float64(len(l.entries))
 		}
 	}
@@ -85,7 +85,7 @@
 // including those of the region that receives most of the overflow.
 func (l *loop) watch(ok func(float64) bool) {
 	now := len(l.samples) - 1
-	in := ok(l.load[home]) && l.load[near] <= placement.High+0.01
+	in := ok(l.load[home]) && l.load[near] <= placement.HighLoad+0.01
 	if !in {
 		l.settled = now
 		if l.inside {
@@ -100,10 +100,10 @@
 		from, to float64
 		ok       func(float64) bool
 	}{
-		"up":      {0.5, 1.4, func(x float64) bool { return x <= placement.High+0.01 && x >= placement.Low-0.01 }},
-		"up far":  {0.5, 1.7, func(x float64) bool { return x <= placement.High+0.01 && x >= placement.Low-0.01 }},
+		"up":      {0.5, 1.4, func(x float64) bool { return x <= placement.HighLoad+0.01 && x >= placement.LowLoad-0.01 }},
+		"up far":  {0.5, 1.7, func(x float64) bool { return x <= placement.HighLoad+0.01 && x >= placement.LowLoad-0.01 }},
 		"down":    {1.4, 0.5, func(x float64) bool { return x >= 0.49 }}, // all requests return to the home region
-		"partial": {1.4, 1.0, func(x float64) bool { return x >= placement.Low-0.01 && x <= placement.High+0.01 }},
+		"partial": {1.4, 1.0, func(x float64) bool { return x >= placement.LowLoad-0.01 && x <= placement.HighLoad+0.01 }},
 	}
 	for name, tt := range tests {
 		for _, lag := range []time.Duration{time.Second, 5 * time.Second, 15 * time.Second} {
@@ -155,16 +155,16 @@
 			is := is.New(t)
 			s := placement.NewSteer(regions())
 			s.Step(now, map[id.Region]measured.Value[float64]{home: tt.home, near: tt.others, far: tt.others})
-			parts := s.Parts()
-			is.Equal(parts[0].Region, home)
-			is.Equal(parts[0].Share < 1, tt.less)
+			shares := s.Shares()
+			is.Equal(shares[0].Region, home)
+			is.Equal(shares[0].Share < 1, tt.less)
 			sum := 0.0
-			for _, p := range parts {
+			for _, p := range shares {
 				sum += p.Share
 			}
 			is.True(math.Abs(sum-1) < 1e-9)
 			if tt.less { // the others are split by weight
-				is.True(math.Abs(parts[1].Share/parts[2].Share-3) < 1e-9)
+				is.True(math.Abs(shares[1].Share/shares[2].Share-3) < 1e-9)
 			}
 		})
 	}
@@ -173,7 +173,7 @@
 func TestSteerUsesOverflowRegionLast(t *testing.T) {
 	is := is.New(t)
 	s := placement.NewSteer([]placement.Region{{Name: home}, {Name: far, Delay: time.Second, Weight: 1}})
-	is.Equal(s.Parts()[0], placement.Part{Region: far, Share: 1})
+	is.Equal(s.Shares()[0], placement.RegionShare{Region: far, Share: 1})
 }
 
 func BenchmarkSteerStep(b *testing.B) {
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -55,12 +55,12 @@
 	}
 )
 
-// NewTable returns a table over the members of the regions in parts. Members
+// NewTable returns a table over the members of the regions in shares. Members
 // of other regions and leaving servers are left out.
-func NewTable(parts []Part, members []Member) *Table {
-	t := &Table{regions: make([]region, 0, len(parts))}
+func NewTable(shares []RegionShare, members []Member) *Table {
+	t := &Table{regions: make([]region, 0, len(shares))}
 	sum := 0.0
-	for _, p := range parts {
+	for _, p := range shares {
 		if p.Share > 0 {
 			sum += p.Share
 		}
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -33,8 +33,8 @@
 	return list
 }
 
-func parts(shares ...float64) []placement.Part {
-	list := []placement.Part{{Region: home}, {Region: near}, {Region: far}}
+func regionShares(shares ...float64) []placement.RegionShare {
+	list := []placement.RegionShare{{Region: home}, {Region: near}, {Region: far}}
 	for i, s := range shares {
 		list[i].Share = s
 	}
@@ -77,17 +77,17 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table := placement.NewTable(parts(tt.shares...), tt.members)
+			table := placement.NewTable(regionShares(tt.shares...), tt.members)
 			is.Equal(names(table.Order(tt.draw, tt.tried, nil)), tt.want)
 		})
 	}
 }
 
-func TestOrderFollowsPartsAndRamp(t *testing.T) {
+func TestOrderFollowsSharesAndRamp(t *testing.T) {
 	is := is.New(t)
 	all := members(12)
 	all[0].Ramp = 0.25
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), all)
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), all)
 	r := rand.New(rand.NewPCG(1, 2))
 	first := map[id.Server]int{}
 	region := map[id.Region]int{}
@@ -127,7 +127,7 @@
 			}
 		}
 		shares := rapid.SliceOfN(rapid.Float64Range(0, 1), 3, 3).Draw(t, "shares")
-		got := placement.NewTable(parts(shares...), all).Order(rapid.Uint64().Draw(t, "draw"), tried, nil)
+		got := placement.NewTable(regionShares(shares...), all).Order(rapid.Uint64().Draw(t, "draw"), tried, nil)
 		for _, s := range got {
 			if !want[s.Name] {
 				t.Fatalf("%s is not eligible, or appears twice", s.Name)
@@ -142,14 +142,14 @@
 
 func TestOrderDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	tried := []id.Server{"s1", "s2"}
 	is.Equal(testing.AllocsPerRun(1000, func() { buf = table.Order(7, tried, buf[:0]) }), 0.0)
 }
 
 func BenchmarkOrder(b *testing.B) {
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	r := rand.New(rand.NewPCG(1, 2))
 	b.ReportAllocs()
@@ -159,7 +159,7 @@
 }
 
 func BenchmarkOrderTried(b *testing.B) {
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	tried := []id.Server{"s0", "s1"}
 	r := rand.New(rand.NewPCG(1, 2))
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -112,16 +112,16 @@
 	r.update(svc, name, func(s *server) { s.warmth = v })
 }
 
-// Parts returns the share of a service's requests for which each region is the
+// Shares returns the share of a service's requests for which each region is the
 // first choice.
-func (r *Router) Parts(svc id.Service) []placement.Part {
+func (r *Router) Shares(svc id.Service) []placement.RegionShare {
 	s := r.load()[svc]
 	if s == nil {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.steer.Parts()
+	return s.steer.Shares()
 }
 
 func (r *Router) load() map[id.Service]*routes {
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -250,15 +250,15 @@
 				}
 				r.SetReport("register", "d", measured.At(tt.other, at))
 				r.Step(time.Now(), nil)
-				parts := r.Parts("register")
-				is.Equal(parts[0].Share < 1, tt.less)
+				shares := r.Shares("register")
+				is.Equal(shares[0].Share < 1, tt.less)
 				first := 0
 				for range 10_000 {
 					if r.Order(request())[0].Name == "d" {
 						first++
 					}
 				}
-				is.True(math.Abs(float64(first)/10_000-parts[1].Share) < 0.02)
+				is.True(math.Abs(float64(first)/10_000-shares[1].Share) < 0.02)
 			})
 		})
 	}
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -109,7 +109,7 @@
 
 func (s *routes) rebuild(now time.Time, r *Router) {
 	s.members = s.membersAt(now, r)
-	o := &orders{table: placement.NewTable(s.steer.Parts(), s.members)}
+	o := &orders{table: placement.NewTable(s.steer.Shares(), s.members)}
 	const step = 1 << 32 / ordersPerService
 	for i := range uint64(ordersPerService) {
 		// The low half covers the shares of all regions evenly. The high half
