--- a/internal/ramp/ramp_test.go
+++ b/internal/ramp/ramp_test.go
@@ -83,7 +83,7 @@
 	is.True(math.Abs(r.Level()-0.45) < 1e-9)
 }
 
-func TestRampEndsAfterLongest(t *testing.T) {
+func TestRampEndsAfterMaxDuration(t *testing.T) {
 	is := is.New(t)
 	var r ramp.Ramp
 	is.Equal(r.Level(), 1.0) // the zero Ramp is warm
