--- a/internal/admission/local/admitter.go
+++ b/internal/admission/local/admitter.go
@@ -18,7 +18,7 @@
 	Pool pool.Pool
 	// Entries is the number of configured entries.
 	Entries int
-	// Index is this entry's zero-based position among them.
+	// Index is this entry's position among them, counted from 0.
 	Index int
 
 	mu    sync.Mutex
