--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -65,8 +65,8 @@
 		Admit(ctx context.Context, req *Request) (Permit, error)
 	}
 
-	// RefusedError reports why a request was not admitted. The request was
-	// not sent to a backend server.
+	// RefusedError reports why a request was not admitted. The refused
+	// attempt was not sent to a backend server.
 	RefusedError struct {
 		// Code is the result code for the caller.
 		Code result.Code
