--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -33,8 +33,8 @@
 	return list
 }
 
-func parts(shares ...float64) []placement.Part {
-	list := []placement.Part{{Region: home}, {Region: near}, {Region: far}}
+func regionShares(shares ...float64) []placement.RegionShare {
+	list := []placement.RegionShare{{Region: home}, {Region: near}, {Region: far}}
 	for i, s := range shares {
 		list[i].Share = s
 	}
@@ -62,32 +62,32 @@
 		tried   []id.Server
 		want    []id.Server
 	}{
-		"nearest first":           {members(12), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"leaving is left out":     {leaving, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"other zone after a try":  {members(6), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s1", "s4", "s2", "s5"}},
-		"rest of tried zone last": {members(12), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s9", "s6", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"part goes elsewhere":     {members(6), []float64{0.5, 0.5, 0}, 0xffff_fff0, nil, []id.Server{"s1", "s4", "s0", "s3", "s2", "s5"}},
-		"cold comes later":        {cold, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s0", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"home is empty":           {lost, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
-		"region is not allowed":   {append(members(3), placement.Member{Region: "elsewhere", Ramp: 1, Server: &service.Server{Name: "x"}}), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s1", "s2"}},
-		"shares are NaN":          {members(3), []float64{math.NaN(), math.NaN(), math.NaN()}, 7, nil, []id.Server{"s0", "s1", "s2"}},
-		"shares are negative":     {members(3), []float64{-1, -1, -1}, 7, nil, []id.Server{"s0", "s1", "s2"}},
-		"none":                    {nil, []float64{1, 0, 0}, 7, nil, nil},
+		"nearest first":              {members(12), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"leaving server left out":    {leaving, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"untried zone first":         {members(6), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s1", "s4", "s2", "s5"}},
+		"rest of tried zone last":    {members(12), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s9", "s6", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"draw selects other region":  {members(6), []float64{0.5, 0.5, 0}, 0xffff_fff0, nil, []id.Server{"s1", "s4", "s0", "s3", "s2", "s5"}},
+		"cold server after warm":     {cold, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s0", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
+		"home region without server": {lost, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
+		"region not allowed":         {append(members(3), placement.Member{Region: "elsewhere", Ramp: 1, Server: &service.Server{Name: "x"}}), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s1", "s2"}},
+		"shares are NaN":             {members(3), []float64{math.NaN(), math.NaN(), math.NaN()}, 7, nil, []id.Server{"s0", "s1", "s2"}},
+		"shares are negative":        {members(3), []float64{-1, -1, -1}, 7, nil, []id.Server{"s0", "s1", "s2"}},
+		"no members":                 {nil, []float64{1, 0, 0}, 7, nil, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table := placement.NewTable(parts(tt.shares...), tt.members)
+			table := placement.NewTable(regionShares(tt.shares...), tt.members)
 			is.Equal(names(table.Order(tt.draw, tt.tried, nil)), tt.want)
 		})
 	}
 }
 
-func TestOrderSharesOutByPartsAndRamp(t *testing.T) {
+func TestOrderFollowsSharesAndRamp(t *testing.T) {
 	is := is.New(t)
 	all := members(12)
 	all[0].Ramp = 0.25
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), all)
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), all)
 	r := rand.New(rand.NewPCG(1, 2))
 	first := map[id.Server]int{}
 	region := map[id.Region]int{}
@@ -105,10 +105,11 @@
 	is.True(math.Abs(float64(region[near])/n-0.3) < 0.01)
 	is.True(math.Abs(float64(region[far])/n-0.2) < 0.01)
 	cold, warm := float64(first["s0"]), float64(first["s6"])
-	is.True(math.Abs(cold/(cold+warm)-0.125) < 0.02) // a quarter of its even half
+	is.True(math.Abs(cold/(cold+warm)-0.125) < 0.02) // ramp 0.25 of its half of the zone
 }
 
-// Every usable server comes exactly once, and no tried or leaving one.
+// Each eligible server appears exactly once; tried and leaving servers don't
+// appear.
 func TestOrderIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := members(rapid.IntRange(0, 40).Draw(t, "members"))
@@ -126,10 +127,10 @@
 			}
 		}
 		shares := rapid.SliceOfN(rapid.Float64Range(0, 1), 3, 3).Draw(t, "shares")
-		got := placement.NewTable(parts(shares...), all).Order(rapid.Uint64().Draw(t, "draw"), tried, nil)
+		got := placement.NewTable(regionShares(shares...), all).Order(rapid.Uint64().Draw(t, "draw"), tried, nil)
 		for _, s := range got {
 			if !want[s.Name] {
-				t.Fatalf("%s is not wanted, or comes twice", s.Name)
+				t.Fatalf("%s is not eligible, or appears twice", s.Name)
 			}
 			delete(want, s.Name)
 		}
@@ -141,14 +142,14 @@
 
 func TestOrderDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	tried := []id.Server{"s1", "s2"}
 	is.Equal(testing.AllocsPerRun(1000, func() { buf = table.Order(7, tried, buf[:0]) }), 0.0)
 }
 
 func BenchmarkOrder(b *testing.B) {
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	r := rand.New(rand.NewPCG(1, 2))
 	b.ReportAllocs()
@@ -158,7 +159,7 @@
 }
 
 func BenchmarkOrderTried(b *testing.B) {
-	table := placement.NewTable(parts(0.5, 0.3, 0.2), members(30))
+	table := placement.NewTable(regionShares(0.5, 0.3, 0.2), members(30))
 	buf := make([]*service.Server, 0, 30)
 	tried := []id.Server{"s0", "s1"}
 	r := rand.New(rand.NewPCG(1, 2))
