--- a/internal/backend/bench_test.go
+++ b/internal/backend/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// BenchmarkSend compares sends over kept connections with sends over
-// connections of their own.
+// BenchmarkSend compares sends over kept connections with sends over a new
+// connection each.
 func BenchmarkSend(b *testing.B) {
 	for _, method := range []string{"GET", "DELETE"} {
 		b.Run(map[string]string{"GET": "kept", "DELETE": "own"}[method], func(b *testing.B) {
@@ -26,12 +26,12 @@
 			target := &service.Server{Address: addr, Slots: 6, Connections: 400}
 			b.ReportAllocs()
 			for b.Loop() {
-				ans, err := c.Send(context.Background(), &backend.Request{Server: target, HTTP: request(method, "/a", "r1", ""), ID: "s1"})
+				resp, err := c.Send(context.Background(), &backend.Request{Server: target, HTTP: request(method, "/a", "r1", ""), ID: "s1"})
 				if err != nil {
 					b.Fatal(err)
 				}
-				_, _ = io.Copy(io.Discard, ans.Body)
-				ans.Close()
+				_, _ = io.Copy(io.Discard, resp.Body)
+				resp.Close()
 			}
 		})
 	}
--- a/internal/backend/body.go
+++ b/internal/backend/body.go
@@ -8,17 +8,17 @@
 )
 
 type (
-	// requestBody passes the caller's body on and keeps the error that it
-	// ended with. Without a source it is empty.
+	// requestBody reads the caller's body and records a read error. Without a
+	// source it is empty.
 	requestBody struct {
 		src io.ReadCloser
 		err atomic.Pointer[error]
 	}
 
-	// answerBody turns the errors of an answer's body into SendErrors.
-	answerBody struct {
-		answer *Answer
-		resp   *http.Response
+	// responseBody turns the read errors of a response body into SendErrors.
+	responseBody struct {
+		response *Response
+		http     *http.Response
 	}
 )
 
@@ -34,30 +34,30 @@
 	return n, err
 }
 
-// Close leaves the caller's body open, for its server to close.
+// Close leaves the caller's body open; the HTTP server closes it.
 func (b *requestBody) Close() error { return nil }
 
-// failed returns the error that reading from the caller ended with.
-func (b *requestBody) failed() error {
+// readError returns the error of reading from the caller, or nil.
+func (b *requestBody) readError() error {
 	if err := b.err.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// Read reads the answer.
-func (b *answerBody) Read(p []byte) (int, error) {
-	n, err := b.resp.Body.Read(p)
+// Read reads the response body.
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.http.Body.Read(p)
 	switch err {
 	case nil:
 		return n, nil
 	case io.EOF:
-		b.answer.Trailer, b.answer.whole = b.resp.Trailer, true
-		if c := b.answer.send.conn.Load(); c != nil {
-			c.busy.Store(false)
+		b.response.Trailer, b.response.complete = b.http.Trailer, true
+		if c := b.response.exchange.conn.Load(); c != nil {
+			c.responsePending.Store(false)
 		}
 		return n, io.EOF
 	default:
-		return n, b.answer.send.fail(err)
+		return n, b.response.exchange.fail(err)
 	}
 }
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	defaultConnect   = time.Second
-	defaultStall     = 30 * time.Second
-	defaultIdle      = 4 * time.Second
-	continueTimeout  = time.Second
-	aliveWait        = 20 * time.Millisecond
-	maxAnswerHeaders = 64 << 10
-	copyBuffer       = 16 << 10
+	defaultConnectTimeout    = time.Second
+	defaultWriteStallTimeout = 30 * time.Second
+	defaultIdleTimeout       = 4 * time.Second
+	continueTimeout          = time.Second
+	aliveDelay               = 20 * time.Millisecond
+	maxResponseHeaderBytes   = 64 << 10
+	bufferSize               = 16 << 10
 )
 
 type (
@@ -36,104 +36,109 @@
 	// use. It is safe for concurrent use; its fields must not change after the
 	// first call.
 	Client struct {
-		// Dial connects to a server; nil is TCP with keep-alive probes.
+		// Dial connects to a server; nil means TCP with keep-alive probes.
 		Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-		// Connect is the longest time to connect; 0 is 1 s.
-		Connect time.Duration
-		// Stall is how long a write may make no progress; 0 is 30 s.
-		Stall time.Duration
-		// Idle is how long an unused connection is kept; 0 is 4 s, less than
-		// servers usually keep one.
-		Idle time.Duration
-		// Entries is how many entries share each server's connections; 0 is 1.
+		// ConnectTimeout limits the time to connect; 0 means 1 s.
+		ConnectTimeout time.Duration
+		// WriteStallTimeout is how long a write may make no progress; 0 means
+		// 30 s.
+		WriteStallTimeout time.Duration
+		// IdleTimeout is how long an unused connection is kept; 0 means 4 s,
+		// which is shorter than the usual idle timeout of servers.
+		IdleTimeout time.Duration
+		// Entries is how many entries share the connection limit of each
+		// server; 0 means 1.
 		Entries int
 
-		servers sync.Map // peerKey to *peer
+		pools sync.Map // peerKey to *peer
 	}
 
 	// Request is one send.
 	Request struct {
-		// Server is where to send it.
+		// Server is the destination.
 		Server *service.Server
 		// HTTP holds method, URL path and query, header, trailer, body and
 		// content length. Hop-by-hop headers must have been removed.
 		HTTP *http.Request
-		// ID tells this send from all others of all entries.
+		// ID is unique among the sends of all entries.
 		ID string
-		// Patience is how long the connection may stay silent in the middle of
-		// an answer; 0 is as long as the context lasts.
-		Patience time.Duration
+		// ReadStallTimeout is how long no byte may arrive once the response
+		// header has arrived; 0 means no limit but that of the context.
+		ReadStallTimeout time.Duration
 	}
 
-	// Answer is a backend server's answer. Its body ends with io.EOF only
-	// if it came whole; other errors are a *SendError.
-	Answer struct {
+	// Response is a backend server's response. Its body ends with io.EOF only
+	// if it is complete; other errors are a *SendError.
+	Response struct {
 		// Status is the HTTP status.
 		Status int
-		// Header is the header as it came.
+		// Header is the header as received.
 		Header http.Header
-		// Length is the announced length of the body, -1 if none is.
+		// Length is the declared length of the body, -1 if it is unknown.
 		Length int64
-		// Trailer is complete once the body has ended.
+		// Trailer is complete once the body has been read to its end.
 		Trailer http.Header
-		// Body is the answer's body.
+		// Body is the response body.
 		Body io.Reader
-		// Latency is the time to the answer's header.
+		// Latency is the time until the response header arrived.
 		Latency time.Duration
 
-		send  *send
-		raw   io.ReadCloser
-		whole bool
+		exchange *exchange
+		httpBody io.ReadCloser
+		complete bool
 	}
 
-	// SendError says how a send ended without a whole answer.
+	// SendError describes a send that ended without a complete response.
 	SendError struct {
-		// Code is the numbered outcome.
+		// Code is the result code.
 		Code result.Code
-		// Sent tells whether any byte of the request was taken by a
-		// connection.
+		// Sent reports whether a connection accepted any byte of the request.
 		Sent bool
-		// Broken tells whether the server ended the connection after it had
-		// been sent bytes, as it does when it crashes.
-		Broken bool
-		// Answering tells whether any byte of an answer had come.
-		Answering bool
-		// Ending is the end of the connection; nil if nothing was sent.
-		Ending *Ending
+		// ServerClosed reports whether the server closed the connection after
+		// bytes had been sent to it, as happens when it crashes.
+		ServerClosed bool
+		// ResponseStarted reports whether any byte of a response had arrived.
+		ResponseStarted bool
+		// PendingClose is the pending close of the connection; nil if nothing
+		// was sent.
+		PendingClose *PendingClose
 		// Err is the cause.
 		Err error
 	}
 
-	// peerKey tells servers apart, and the limits they had before a change.
-	peerKey struct {
+	// poolKey identifies a pool. A server whose limits change gets a new one.
+	poolKey struct {
 		addr               netip.AddrPort
 		slots, connections int
 	}
 
-	// peer holds the connections to one server.
-	peer struct {
-		kept, single *http.Transport
-		echoes       atomic.Bool
+	// serverPool holds the connections to one server. echoesSendID is set once
+	// the server has echoed the ID of a send.
+	serverPool struct {
+		keepAlive, singleUse *http.Transport
+		echoesSendID         atomic.Bool
 	}
 
-	// send follows one request over its connection.
-	send struct {
-		cancel context.CancelCauseFunc
-		ctx    context.Context
-		conn   atomic.Pointer[conn]
-		base   int64
-		got    int64
-		body   *requestBody
+	// exchange is one request and its response on a connection.
+	// writtenBefore and receivedBefore are the byte counts of the connection
+	// at its start.
+	exchange struct {
+		cancel         context.CancelCauseFunc
+		ctx            context.Context
+		conn           atomic.Pointer[conn]
+		writtenBefore  int64
+		receivedBefore int64
+		body           *requestBody
 
-		mu    sync.Mutex
-		watch *time.Timer
+		mu         sync.Mutex
+		stallTimer *time.Timer
 	}
 )
 
 // Causes of failed sends.
 var (
-	errSilent = errors.New("connection is silent")
-	errUnfit  = errors.New("answer can't be trusted")
+	errStalled         = errors.New("connection stalled")
+	errInvalidResponse = errors.New("invalid response")
 )
 
 // Error formats the error with its code.
@@ -144,71 +149,71 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Send sends the request and returns the answer once its header has come. The
-// error is a *SendError. The answer must be closed.
-func (c *Client) Send(ctx context.Context, req *Request) (*Answer, error) {
-	p := c.peer(req.Server)
-	if p.echoes.Load() && keepable(req.HTTP) {
-		ans, err := p.send(ctx, req, p.kept)
+// Send sends the request and returns the response once its header has arrived.
+// The error is a *SendError. The response must be closed.
+func (c *Client) Send(ctx context.Context, req *Request) (*Response, error) {
+	p := c.pool(req.Server)
+	if p.echoesSendID.Load() && canUseKeepAlive(req.HTTP) {
+		resp, err := p.send(ctx, req, p.keepAlive)
 		var failed *SendError
 		if !errors.As(err, &failed) || failed.Code != result.ConnectFailed {
-			return ans, err
+			return resp, err
 		}
-		// The kept connection had ended before it took any byte.
+		// The kept connection was closed before it accepted any byte.
 	}
-	return p.send(ctx, req, p.single)
+	return p.send(ctx, req, p.singleUse)
 }
 
-func (p *peer) send(ctx context.Context, req *Request, t *http.Transport) (*Answer, error) {
-	s := &send{}
-	s.ctx, s.cancel = context.WithCancelCause(ctx)
-	out := s.prepare(ctx, req)
+func (p *serverPool) send(ctx context.Context, req *Request, t *http.Transport) (*Response, error) {
+	e := &exchange{}
+	e.ctx, e.cancel = context.WithCancelCause(ctx)
+	out := e.prepare(ctx, req)
 	started := time.Now()
 	resp, err := t.RoundTrip(out)
 	if err != nil {
-		return nil, s.fail(err)
+		return nil, e.fail(err)
 	}
-	if err := s.check(resp, req.ID, p); err != nil {
+	if err := e.validateResponse(resp, req.ID, p); err != nil {
 		_ = resp.Body.Close()
-		return nil, s.fail(err)
+		return nil, e.fail(err)
 	}
 	if shed(resp) {
 		_ = resp.Body.Close()
-		s.end()
+		e.stop()
 		return nil, &SendError{Code: result.ShedByServer, Sent: true, Err: errors.New("shed by server")}
 	}
-	a := &Answer{
+	r := &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Trailer: resp.Trailer,
-		Latency: time.Since(started), send: s, raw: resp.Body,
+		Latency: time.Since(started), exchange: e, httpBody: resp.Body,
 	}
-	a.Body = &answerBody{answer: a, resp: resp}
-	s.answering(req.Patience)
-	return a, nil
+	r.Body = &responseBody{response: r, http: resp}
+	e.watchResponse(req.ReadStallTimeout)
+	return r, nil
 }
 
-// Close ends the answer. A connection whose answer has not come whole is
-// closed, which cancels the request at the backend server; its end is returned
-// then, and nil otherwise.
-func (a *Answer) Close() *Ending {
-	_ = a.raw.Close()
-	a.send.end()
-	if c := a.send.conn.Load(); c != nil && !a.whole {
+// Close releases the response. If the response is incomplete, Close closes the
+// connection, which cancels the request at the backend server, and returns the
+// pending close; otherwise it returns nil.
+func (r *Response) Close() *PendingClose {
+	_ = r.httpBody.Close()
+	r.exchange.stop()
+	if c := r.exchange.conn.Load(); c != nil && !r.complete {
 		_ = c.Close()
-		return &c.ending
+		return &c.pending
 	}
 	return nil
 }
 
-// Distrust closes the kept connections to a server that no request is using.
-func (c *Client) Distrust(server *service.Server) { c.peer(server).kept.CloseIdleConnections() }
+// CloseIdleTo closes the idle connections to one server.
+func (c *Client) CloseIdleTo(server *service.Server) { c.pool(server).keepAlive.CloseIdleConnections() }
 
-// Alive tells whether the server takes a new connection, a moment after it
-// ended another.
+// Alive reports whether the server accepts a new connection, aliveDelay after
+// the call. It is called when the server has just closed another connection.
 func (c *Client) Alive(ctx context.Context, server *service.Server) bool {
-	ctx, cancel := context.WithTimeout(ctx, aliveWait+orDefault(c.Connect, defaultConnect))
+	ctx, cancel := context.WithTimeout(ctx, aliveDelay+orDefault(c.ConnectTimeout, defaultConnectTimeout))
 	defer cancel()
 	select {
-	case <-time.After(aliveWait):
+	case <-time.After(aliveDelay):
 	case <-ctx.Done():
 		return false
 	}
@@ -224,28 +229,28 @@
 	return true
 }
 
-// CloseIdle closes the connections that no request is using.
+// CloseIdle closes the idle connections to all servers.
 func (c *Client) CloseIdle() {
-	c.servers.Range(func(_, v any) bool {
-		if p, ok := v.(*peer); ok {
-			p.kept.CloseIdleConnections()
+	c.pools.Range(func(_, v any) bool {
+		if p, ok := v.(*serverPool); ok {
+			p.keepAlive.CloseIdleConnections()
 		}
 		return true
 	})
 }
 
-func (c *Client) peer(server *service.Server) *peer {
-	key := peerKey{server.Address, server.Slots, server.Connections}
-	if v, ok := c.servers.Load(key); ok {
-		if p, ok := v.(*peer); ok {
+func (c *Client) pool(server *service.Server) *serverPool {
+	key := poolKey{server.Address, server.Slots, server.Connections}
+	if v, ok := c.pools.Load(key); ok {
+		if p, ok := v.(*serverPool); ok {
 			return p
 		}
 	}
 	limit := max(server.Connections/max(c.Entries, 1), 2)
-	p := &peer{kept: c.transport(server, limit/2), single: c.transport(server, limit-limit/2)}
-	p.single.DisableKeepAlives = true
-	v, _ := c.servers.LoadOrStore(key, p)
-	if stored, ok := v.(*peer); ok {
+	p := &serverPool{keepAlive: c.transport(server, limit/2), singleUse: c.transport(server, limit-limit/2)}
+	p.singleUse.DisableKeepAlives = true
+	v, _ := c.pools.LoadOrStore(key, p)
+	if stored, ok := v.(*serverPool); ok {
 		return stored
 	}
 	return p
@@ -256,38 +261,38 @@
 	if dial == nil {
 		dial = dialTCP
 	}
-	stall := orDefault(c.Stall, defaultStall)
+	stall := orDefault(c.WriteStallTimeout, defaultWriteStallTimeout)
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, orDefault(c.Connect, defaultConnect))
+			ctx, cancel := context.WithTimeout(ctx, orDefault(c.ConnectTimeout, defaultConnectTimeout))
 			defer cancel()
 			raw, err := dial(ctx, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: raw, stall: stall, ending: Ending{done: make(chan struct{})}}, nil
+			return &conn{Conn: raw, writeStallTimeout: stall, pending: PendingClose{done: make(chan struct{})}}, nil
 		},
 		DisableCompression:     true,
 		MaxConnsPerHost:        limit,
 		MaxIdleConnsPerHost:    max(server.Slots, 1),
-		IdleConnTimeout:        orDefault(c.Idle, defaultIdle),
+		IdleConnTimeout:        orDefault(c.IdleTimeout, defaultIdleTimeout),
 		ExpectContinueTimeout:  continueTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeaders,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		TLSNextProto:           map[string]func(string, *tls.Conn) http.RoundTripper{},
-		ReadBufferSize:         copyBuffer,
-		WriteBufferSize:        copyBuffer,
+		ReadBufferSize:         bufferSize,
+		WriteBufferSize:        bufferSize,
 	}
 }
 
-// keepable tells whether a request may use a kept connection.
-func keepable(req *http.Request) bool {
+// canUseKeepAlive reports whether a request may use a kept connection.
+func canUseKeepAlive(req *http.Request) bool {
 	bare := req.Body == nil || req.Body == http.NoBody
 	return bare && (req.Method == http.MethodGet || req.Method == http.MethodHead)
 }
 
-func (s *send) prepare(parent context.Context, req *Request) *http.Request {
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { s.attach(info.Conn) }}
-	out := req.HTTP.Clone(httptrace.WithClientTrace(s.ctx, trace))
+func (e *exchange) prepare(parent context.Context, req *Request) *http.Request {
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { e.useConn(info.Conn) }}
+	out := req.HTTP.Clone(httptrace.WithClientTrace(e.ctx, trace))
 	out.Trailer = req.HTTP.Trailer
 	out.RequestURI = ""
 	out.URL.Scheme, out.URL.Host = "http", req.Server.Address.String()
@@ -299,77 +304,79 @@
 		out.Header.Set(result.HeaderDeadline, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
 	bare := req.HTTP.Body == nil || req.HTTP.Body == http.NoBody
-	s.body = &requestBody{}
+	e.body = &requestBody{}
 	switch m := req.HTTP.Method; {
 	case !bare:
-		s.body.src = req.HTTP.Body
-		out.Body = s.body
+		e.body.src = req.HTTP.Body
+		out.Body = e.body
 	case m == http.MethodGet || m == http.MethodHead:
-		// A body that has to be looked at keeps the transport from sending the
-		// request a second time by itself.
-		out.Body, out.ContentLength = s.body, 0
+		// A non-nil body, empty or not, keeps http.Transport from retrying the
+		// request by itself.
+		out.Body, out.ContentLength = e.body, 0
 	default:
 		out.Body = http.NoBody
 	}
 	return out
 }
 
-// attach notes the connection that the request goes out on.
-func (s *send) attach(raw net.Conn) {
+// useConn records the connection that carries the request, and starts to watch
+// its writes for stalls.
+func (e *exchange) useConn(raw net.Conn) {
 	c, ok := raw.(*conn)
 	if !ok {
 		return
 	}
-	s.base, s.got = c.written.Load(), c.received.Load()
-	s.conn.Store(c)
-	c.begin(0)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.watch = time.AfterFunc(c.next(), func() { s.look(c) })
+	e.writtenBefore, e.receivedBefore = c.written.Load(), c.received.Load()
+	e.conn.Store(c)
+	c.restartStallClock(0)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.stallTimer = time.AfterFunc(c.nextStallCheck(), func() { e.checkStall(c) })
 }
 
-// answering judges the connection by patience from now on.
-func (s *send) answering(patience time.Duration) {
-	c := s.conn.Load()
-	if c == nil || patience == 0 {
+// watchResponse applies the read stall timeout from now on.
+func (e *exchange) watchResponse(readStallTimeout time.Duration) {
+	c := e.conn.Load()
+	if c == nil || readStallTimeout == 0 {
 		return
 	}
-	c.begin(patience)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.watch.Reset(c.next())
+	c.restartStallClock(readStallTimeout)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.stallTimer.Reset(c.nextStallCheck())
 }
 
-// look ends the send if its connection has gone silent, and looks again later
-// otherwise.
-func (s *send) look(c *conn) {
-	if s.ctx.Err() != nil {
+// checkStall cancels the exchange if its connection has stalled, and schedules
+// the next check otherwise.
+func (e *exchange) checkStall(c *conn) {
+	if e.ctx.Err() != nil {
 		return
 	}
-	if c.isSilent() {
-		s.cancel(errSilent)
+	if c.isStalled() {
+		e.cancel(errStalled)
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.watch.Reset(c.next())
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.stallTimer.Reset(c.nextStallCheck())
 }
 
-// check looks for what makes an answer unfit to be passed on.
-func (s *send) check(resp *http.Response, sendID string, p *peer) error {
+// validateResponse returns an error for a response that must not be returned:
+// it belongs to another send, or its end can't be detected.
+func (e *exchange) validateResponse(resp *http.Response, sendID string, p *serverPool) error {
 	got := resp.Header.Get(result.HeaderSend)
 	switch {
 	case got != "" && got != sendID:
-		return fmt.Errorf("%w: it belongs to another send", errUnfit)
-	case got == "" && p.echoes.Load():
-		return fmt.Errorf("%w: it has no send id", errUnfit)
+		return fmt.Errorf("%w: it has the ID of another send", errInvalidResponse)
+	case got == "" && p.echoesSendID.Load():
+		return fmt.Errorf("%w: it has no send ID", errInvalidResponse)
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return fmt.Errorf("%w: it switches protocols", errUnfit)
+		return fmt.Errorf("%w: it switches protocols", errInvalidResponse)
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody:
-		return fmt.Errorf("%w: its end is not announced", errUnfit)
+		return fmt.Errorf("%w: it has neither a length nor chunked encoding", errInvalidResponse)
 	}
 	if got != "" {
-		p.echoes.Store(true)
+		p.echoesSendID.Store(true)
 	}
 	return nil
 }
@@ -378,65 +385,66 @@
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(result.HeaderShed) == "1"
 }
 
-// fail ends the send and classifies err.
-func (s *send) fail(err error) *SendError {
-	cause := context.Cause(s.ctx)
-	s.end()
-	sent := s.sent()
-	code := s.code(err, cause, sent)
-	return &SendError{Ending: s.ending(sent), Code: code, Sent: sent, Broken: code == result.AnswerCut && !errors.Is(err, errUnfit), Answering: s.answered(), Err: err}
+// fail stops the exchange and classifies err.
+func (e *exchange) fail(err error) *SendError {
+	cause := context.Cause(e.ctx)
+	e.stop()
+	sent := e.closeAndReportSent()
+	code := e.code(err, cause, sent)
+	return &SendError{PendingClose: e.pendingClose(sent), Code: code, Sent: sent, ServerClosed: code == result.AnswerCut && !errors.Is(err, errInvalidResponse), ResponseStarted: e.responseStarted(), Err: err}
 }
 
-func (s *send) code(err, cause error, sent bool) result.Code {
+func (e *exchange) code(err, cause error, sent bool) result.Code {
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
 		return choose(sent, result.AnswerLate, result.DeadlinePassed)
-	case errors.Is(cause, errSilent):
+	case errors.Is(cause, errStalled):
 		return choose(sent, result.ConnectionSilent, result.ConnectFailed)
-	case cause != nil, s.body.failed() != nil:
+	case cause != nil, e.body.readError() != nil:
 		return choose(sent, result.CallerGone, result.CallerLeft)
 	case !sent:
 		return result.ConnectFailed
-	case timedOut(err):
+	case isKernelTimeout(err):
 		return result.ConnectionSilent
 	default:
 		return result.AnswerCut
 	}
 }
 
-// timedOut tells whether the kernel gave up on the connection because the
-// other side had stopped acknowledging.
-func timedOut(err error) bool {
+// isKernelTimeout reports whether the kernel closed the connection because the
+// peer no longer acknowledged data.
+func isKernelTimeout(err error) bool {
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// sent closes the connection and tells whether it took any byte of the
-// request.
-func (s *send) sent() bool {
-	c := s.conn.Load()
-	return c != nil && c.settled() > s.base
+// closeAndReportSent closes the connection and reports whether it accepted any
+// byte of the request.
+func (e *exchange) closeAndReportSent() bool {
+	c := e.conn.Load()
+	return c != nil && c.closeAndCountWritten() > e.writtenBefore
 }
 
-// ending returns the end of the connection, which has been closed.
-func (s *send) ending(sent bool) *Ending {
-	c := s.conn.Load()
+// pendingClose returns the pending close of the connection, on which Close has
+// been called; nil if nothing was sent.
+func (e *exchange) pendingClose(sent bool) *PendingClose {
+	c := e.conn.Load()
 	if c == nil || !sent {
 		return nil
 	}
-	return &c.ending
+	return &c.pending
 }
 
-func (s *send) answered() bool {
-	c := s.conn.Load()
-	return c != nil && c.received.Load() > s.got
+func (e *exchange) responseStarted() bool {
+	c := e.conn.Load()
+	return c != nil && c.received.Load() > e.receivedBefore
 }
 
-func (s *send) end() {
-	s.cancel(context.Canceled)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.watch != nil {
-		s.watch.Stop()
+func (e *exchange) stop() {
+	e.cancel(context.Canceled)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.stallTimer != nil {
+		e.stallTimer.Stop()
 	}
 }
 
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -56,11 +56,12 @@
 	return 0
 }
 
-// TestSpoiledAnswersOverInterleavedRequests looks for an answer that is passed
-// on whole but belongs to another request, and for a cut one that looks whole.
-func TestSpoiledAnswersOverInterleavedRequests(t *testing.T) {
+// TestMalformedResponsesAreDetected sends concurrent requests to a server that
+// truncates, duplicates or swaps responses. No returned response may belong to
+// another request, and no truncated one may look complete.
+func TestMalformedResponsesAreDetected(t *testing.T) {
 	is := is.New(t)
-	log.SetOutput(io.Discard) // net/http reports what is spoiled
+	log.SetOutput(io.Discard) // net/http logs malformed responses
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -77,7 +78,7 @@
 	target := listen(t, srv)
 	defer c.CloseIdle()
 	const workers, each = 16, 150
-	whole := make([]int, workers)
+	complete := make([]int, workers)
 	var wg sync.WaitGroup
 	for w := range workers {
 		wg.Go(func() {
@@ -89,33 +90,33 @@
 				mu.Unlock()
 				switch {
 				case err == nil && body == id+" one 0\n":
-					whole[w]++
+					complete[w]++
 				case err == nil:
-					t.Errorf("%s: foreign or short answer %q", id, body)
+					t.Errorf("%s: response of another request or truncated response %q", id, body)
 				case ran && codeOf(err).Ran() != result.Unknown:
-					t.Errorf("%s ran but code is %d", id, codeOf(err))
+					t.Errorf("%s ran, but the code is %d", id, codeOf(err))
 				}
 				if err == nil && (kind == standin.Cut || kind == standin.Unframed || kind == standin.Foreign) {
-					t.Errorf("%s: spoiled answer %d looked whole", id, kind)
+					t.Errorf("%s: malformed response of kind %d looked complete", id, kind)
 				}
 			}
 		})
 	}
 	wg.Wait()
 	sum := 0
-	for _, n := range whole {
+	for _, n := range complete {
 		sum += n
 	}
-	is.True(sum > workers*each/3) // whole answers are passed on
+	is.True(sum > workers*each/3) // complete responses are returned
 }
 
 func get(c *backend.Client, target *service.Server, id string) (string, error) {
-	ans, err := c.Send(context.Background(), &backend.Request{Server: target, HTTP: request("GET", "/a", id, ""), ID: "send-" + id})
+	resp, err := c.Send(context.Background(), &backend.Request{Server: target, HTTP: request("GET", "/a", id, ""), ID: "send-" + id})
 	if err != nil {
 		return "", err
 	}
-	defer ans.Close()
-	body, err := io.ReadAll(ans.Body)
+	defer resp.Close()
+	body, err := io.ReadAll(resp.Body)
 	return string(body), err
 }
 
@@ -127,7 +128,7 @@
 		code   result.Code
 		ran    int
 	}{
-		"whole":       {ran: 1},
+		"complete":    {ran: 1},
 		"no listener": {closed: true, code: result.ConnectFailed},
 		"shed":        {faults: standin.Faults{Shed: true}, code: result.ShedByServer},
 		"crash":       {faults: standin.Faults{Crash: func(*http.Request) bool { return true }}, code: result.AnswerCut},
@@ -148,53 +149,55 @@
 				}
 				c := &backend.Client{Dial: n.Dial}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-				ans, err := c.Send(ctx, &backend.Request{
+				resp, err := c.Send(ctx, &backend.Request{
 					Server: &service.Server{Address: addr, Slots: 1, Connections: 4}, HTTP: request("POST", "/a", "r1", "body"), ID: "s1",
 				})
 				is.Equal(codeOf(err), tt.code)
 				if err == nil {
-					body, err := io.ReadAll(ans.Body)
+					body, err := io.ReadAll(resp.Body)
 					is.NoErr(err)
 					is.Equal(string(body), "r1 one 4\n")
-					ans.Close()
+					resp.Close()
 				}
 				is.Equal(srv.Record().Ran["r1"], tt.ran)
 				cancel()
 				c.CloseIdle()
 				srv.Close()
-				time.Sleep(time.Minute) // the server's connections linger
+				time.Sleep(time.Minute) // lets the lingering connections close
 			})
 		})
 	}
 }
 
-// halfDeaf is a connection whose other side stops reading in the middle of the
-// request, and answers after that.
-type halfDeaf struct {
+// readClosedConn is a connection whose peer stops reading in the middle of the
+// request and responds afterwards.
+type readClosedConn struct {
 	net.Conn
-	stopped chan struct{}
-	once    sync.Once
-	answer  io.Reader
+	stopped  chan struct{}
+	once     sync.Once
+	response io.Reader
 }
 
-func (c *halfDeaf) Write(p []byte) (int, error) {
+func (c *readClosedConn) Write(p []byte) (int, error) {
 	c.once.Do(func() { close(c.stopped) })
 	return len(p) / 2, syscall.EPIPE
 }
 
-func (c *halfDeaf) Read(p []byte) (int, error) {
+func (c *readClosedConn) Read(p []byte) (int, error) {
 	<-c.stopped
 	time.Sleep(time.Second)
-	return c.answer.Read(p)
+	return c.response.Read(p)
 }
 
-func TestAnswerAfterTheServerStoppedReading(t *testing.T) {
+// TestResponseAfterServerStoppedReading guards against a write error that hides
+// the response of a server that responded before it had read the whole request.
+func TestResponseAfterServerStoppedReading(t *testing.T) {
 	tests := map[string]struct {
-		answer string
-		code   result.Code
+		response string
+		code     result.Code
 	}{
-		"shed":      {answer: "HTTP/1.1 503 Service Unavailable\r\nShallotpier-Shed: 1\r\nContent-Length: 0\r\n\r\n", code: result.ShedByServer},
-		"no answer": {code: result.AnswerCut},
+		"shed":        {response: "HTTP/1.1 503 Service Unavailable\r\nShallotpier-Shed: 1\r\nContent-Length: 0\r\n\r\n", code: result.ShedByServer},
+		"no response": {code: result.AnswerCut},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +205,7 @@
 				is := is.New(t)
 				c := &backend.Client{Dial: func(context.Context, netip.AddrPort) (net.Conn, error) {
 					near, _ := net.Pipe()
-					return &halfDeaf{Conn: near, stopped: make(chan struct{}), answer: strings.NewReader(tt.answer)}, nil
+					return &readClosedConn{Conn: near, stopped: make(chan struct{}), response: strings.NewReader(tt.response)}, nil
 				}}
 				_, err := c.Send(t.Context(), &backend.Request{Server: &service.Server{Slots: 1, Connections: 4}, HTTP: request("POST", "/a", "r1", "body"), ID: "s1"})
 				is.Equal(codeOf(err), tt.code)
@@ -212,7 +215,8 @@
 	}
 }
 
-// slowBody sends a byte at a time with pauses, as over a weak signal.
+// slowBody yields up to 1 KiB at a time after a pause, like an upload over a slow
+// mobile connection.
 type slowBody struct {
 	left  int
 	pause time.Duration
@@ -228,20 +232,22 @@
 	return n, nil
 }
 
-func TestSilence(t *testing.T) {
+// TestStallTimeouts checks that stalled writes and stalled responses end the
+// send, and that an upload whose caller is slow does not.
+func TestStallTimeouts(t *testing.T) {
 	tests := map[string]struct {
-		method   string
-		body     io.Reader
-		silent   bool
-		stuck    bool
-		patience time.Duration
-		code     result.Code
-		took     time.Duration
+		method           string
+		body             io.Reader
+		silent           bool
+		stuck            bool
+		readStallTimeout time.Duration
+		code             result.Code
+		took             time.Duration
 	}{
-		"slow upload lives":            {method: "POST", body: &slowBody{left: 30 * 1024, pause: 20 * time.Second}},
-		"slow upload with patience":    {method: "POST", body: &slowBody{left: 5 * 1024, pause: 20 * time.Second}, patience: 2 * time.Second},
-		"answer stuck in the middle":   {method: "GET", stuck: true, patience: 2 * time.Second, code: result.ConnectionSilent, took: 2 * time.Second},
-		"write on a silent connection": {method: "POST", body: &slowBody{left: 256 * 1024, pause: time.Millisecond}, silent: true, code: result.ConnectionSilent, took: 30 * time.Second},
+		"slow upload":                         {method: "POST", body: &slowBody{left: 30 * 1024, pause: 20 * time.Second}},
+		"slow upload with read stall timeout": {method: "POST", body: &slowBody{left: 5 * 1024, pause: 20 * time.Second}, readStallTimeout: 2 * time.Second},
+		"response stalls in the middle":       {method: "GET", stuck: true, readStallTimeout: 2 * time.Second, code: result.ConnectionSilent, took: 2 * time.Second},
+		"write on a silent connection":        {method: "POST", body: &slowBody{left: 256 * 1024, pause: time.Millisecond}, silent: true, code: result.ConnectionSilent, took: 30 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -266,10 +272,10 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 				started := time.Now()
-				ans, err := c.Send(ctx, &backend.Request{Server: &service.Server{Address: addr, Slots: 1, Connections: 4}, HTTP: req, ID: "s1", Patience: tt.patience})
+				resp, err := c.Send(ctx, &backend.Request{Server: &service.Server{Address: addr, Slots: 1, Connections: 4}, HTTP: req, ID: "s1", ReadStallTimeout: tt.readStallTimeout})
 				if err == nil {
-					_, err = io.ReadAll(ans.Body)
-					ans.Close()
+					_, err = io.ReadAll(resp.Body)
+					resp.Close()
 				}
 				is.Equal(codeOf(err), tt.code)
 				if tt.took > 0 {
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -18,122 +18,125 @@
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	unackedLimit      = 10 * time.Second
-	minLook           = 10 * time.Millisecond
+	unackedTimeout    = 10 * time.Second
+	minStallCheck     = 10 * time.Millisecond
 )
 
-// conn counts what moves on a connection, and since when nothing has.
+// conn counts the bytes of a connection, detects stalls and closes gracefully.
 type conn struct {
 	net.Conn
-	stall    time.Duration
-	patience atomic.Int64
-	written  atomic.Int64
-	received atomic.Int64
-	// writing and moved are in nanoseconds of the wall clock; writing is 0
-	// while no write is under way.
-	writing atomic.Int64
-	moved   atomic.Int64
-	waiting atomic.Bool
-	write   sync.Mutex
-	reading sync.Mutex
-	// busy tells that a request is unanswered; closed, that it is not waited
-	// for.
-	busy    atomic.Bool
-	closed  atomic.Bool
-	closing sync.Once
-	ending  Ending
+	writeStallTimeout time.Duration
+	readStallTimeout  atomic.Int64
+	written           atomic.Int64
+	received          atomic.Int64
+	// writeStart and lastProgress are Unix times in nanoseconds; writeStart is
+	// 0 while no write is in progress.
+	writeStart   atomic.Int64
+	lastProgress atomic.Int64
+	readPending  atomic.Bool
+	writeMu      sync.Mutex
+	readMu       sync.Mutex
+	// responsePending is set while a request has no complete response; closed,
+	// once the response is no longer awaited.
+	responsePending atomic.Bool
+	closed          atomic.Bool
+	closeOnce       sync.Once
+	pending         PendingClose
 }
 
-// Write counts what the connection took. If the server stops reading in the
-// middle of a request, the rest is dropped: its answer, or the end of the
-// connection, comes by Read, and would be lost with an error here.
+// Write counts the bytes that the connection accepts. If the server stops
+// reading in the middle of a request, the rest is dropped without an error: an
+// error would make the transport discard the response, which still arrives
+// through Read, as does the close of the connection.
 func (c *conn) Write(p []byte) (int, error) {
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
-	c.writing.Store(time.Now().UnixNano())
+	c.writeStart.Store(time.Now().UnixNano())
 	n, err := c.Conn.Write(p)
 	c.written.Add(int64(n))
 	if n > 0 {
-		c.busy.Store(true)
+		c.responsePending.Store(true)
 	}
-	c.writing.Store(0)
-	c.moved.Store(time.Now().UnixNano())
-	if err != nil && c.busy.Load() && refused(err) {
+	c.writeStart.Store(0)
+	c.lastProgress.Store(time.Now().UnixNano())
+	if err != nil && c.responsePending.Load() && isReadClosed(err) {
 		return len(p), nil
 	}
 	return n, err
 }
 
-// refused tells whether the other side reads no more.
-func refused(err error) bool {
+// isReadClosed reports whether err means that the peer no longer reads.
+func isReadClosed(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.ErrClosedPipe)
 }
 
-// Read notes when bytes arrive.
+// Read counts received bytes and records when they arrive.
 func (c *conn) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
-	c.waiting.Store(true)
+	c.readPending.Store(true)
 	n, err := c.Conn.Read(p)
 	c.received.Add(int64(n))
-	c.waiting.Store(false)
-	c.moved.Store(time.Now().UnixNano())
+	c.readPending.Store(false)
+	c.lastProgress.Store(time.Now().UnixNano())
 	return n, err
 }
 
-// begin starts the judgement anew; patience 0 judges by writes alone.
-func (c *conn) begin(patience time.Duration) {
-	c.patience.Store(int64(patience))
-	c.moved.Store(time.Now().UnixNano())
+// restartStallClock sets the read stall timeout and counts it from now; with 0,
+// only writes can stall.
+func (c *conn) restartStallClock(readStallTimeout time.Duration) {
+	c.readStallTimeout.Store(int64(readStallTimeout))
+	c.lastProgress.Store(time.Now().UnixNano())
 }
 
-// settled closes the connection and returns the number of bytes written, once
-// no write is under way.
-func (c *conn) settled() int64 {
+// closeAndCountWritten closes the connection and returns the number of bytes
+// written, once no write is in progress.
+func (c *conn) closeAndCountWritten() int64 {
 	_ = c.Close()
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	return c.written.Load()
 }
 
-// isSilent tells whether a write, or an awaited read, has not moved for too
-// long. A connection that has nothing to write is not judged by writes.
-func (c *conn) isSilent() bool { return c.left(time.Now()) <= 0 }
+// isStalled reports whether a write, or a read that is waited for, has made no
+// progress within its timeout. A connection without a write in progress can't
+// exceed the write stall timeout.
+func (c *conn) isStalled() bool { return c.untilStalled(time.Now()) <= 0 }
 
-// next returns when to look again.
-func (c *conn) next() time.Duration { return max(c.left(time.Now()), minLook) }
+// nextStallCheck returns the time until the next stall check.
+func (c *conn) nextStallCheck() time.Duration { return max(c.untilStalled(time.Now()), minStallCheck) }
 
-// left returns how long the connection may still stay as it is.
-func (c *conn) left(now time.Time) time.Duration {
-	left := c.stall
-	if since := c.writing.Load(); since != 0 {
-		left = c.stall - now.Sub(time.Unix(0, since))
+// untilStalled returns how long the connection may still make no progress.
+func (c *conn) untilStalled(now time.Time) time.Duration {
+	left := c.writeStallTimeout
+	if since := c.writeStart.Load(); since != 0 {
+		left = c.writeStallTimeout - now.Sub(time.Unix(0, since))
 	}
-	if p := time.Duration(c.patience.Load()); p > 0 {
+	if p := time.Duration(c.readStallTimeout.Load()); p > 0 {
 		waited := time.Duration(0)
-		if c.waiting.Load() {
-			waited = now.Sub(time.Unix(0, c.moved.Load()))
+		if c.readPending.Load() {
+			waited = now.Sub(time.Unix(0, c.lastProgress.Load()))
 		}
 		left = min(left, p-waited)
 	}
 	return left
 }
 
-// dialTCP connects with keep-alive probes and a limit on unacknowledged data,
-// so that the kernel finds a connection that has gone silent even while
-// nothing is due from the server.
+// dialTCP connects with keep-alive probes and a timeout for unacknowledged
+// data, so that the kernel detects a dead connection even while no data is
+// expected from the server.
 func dialTCP(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: sockopt.LimitUnacked(unackedLimit),
+		Control: sockopt.LimitUnacked(unackedTimeout),
 	}
 	return d.DialContext(ctx, "tcp", addr.String())
 }
--- a/internal/backend/ending.go
+++ b/internal/backend/ending.go
@@ -6,44 +6,46 @@
 	"time"
 )
 
-// lingerTime is how long a server may take to end a connection on which it
-// was told that nobody waits for its answer any more.
-const lingerTime = 2 * time.Second
+// lingerTimeout is how long a server may take to close a connection after the
+// client has closed its side.
+const lingerTimeout = 2 * time.Second
 
 type (
-	// Ending is the end of a connection whose answer is not waited for. The
-	// server was told by the end of what it reads. Once it has ended the
-	// connection itself, it isn't running the request any more.
-	Ending struct {
-		done   chan struct{}
-		proved bool
+	// PendingClose is the close of a connection whose response is no longer
+	// awaited. The client has closed its side, which the server reads as
+	// end of file. Once the server has closed the connection as well, it is no
+	// longer running the request.
+	PendingClose struct {
+		done      chan struct{}
+		confirmed bool
 	}
 
 	halfCloser interface{ CloseWrite() error }
 )
 
-// Wait waits until the server has ended the connection and returns true, or
-// until it has not done so for too long and returns false. A nil Ending has
-// ended.
-func (e *Ending) Wait() bool {
-	if e == nil {
+// Wait waits until the server has closed the connection and returns true, or
+// false if it has not done so within lingerTimeout. A nil PendingClose counts as
+// closed.
+func (p *PendingClose) Wait() bool {
+	if p == nil {
 		return true
 	}
-	<-e.done
-	return e.proved
+	<-p.done
+	return p.confirmed
 }
 
-// Close closes the connection. If a request is unanswered on it, the server is
-// told first, and the connection stays open until the server ends it.
+// Close closes the connection. While a response is pending, it closes only the
+// write side at first, and the connection stays open until the server closes it
+// or lingerTimeout has passed.
 func (c *conn) Close() error {
-	c.closing.Do(func() {
+	c.closeOnce.Do(func() {
 		half, ok := c.Conn.(halfCloser)
-		if !c.busy.Load() || !ok {
-			close(c.ending.done)
+		if !c.responsePending.Load() || !ok {
+			close(c.pending.done)
 			_ = c.Conn.Close()
 			return
 		}
-		// Reads and writes under way end, and none begins.
+		// Reads and writes in progress fail, and no new one starts.
 		c.closed.Store(true)
 		_ = c.SetDeadline(time.Unix(1, 0))
 		go c.linger(half)
@@ -52,22 +54,22 @@
 }
 
 func (c *conn) linger(half halfCloser) {
-	c.quiet()
+	c.waitForIO()
 	_ = half.CloseWrite()
-	_ = c.SetDeadline(time.Now().Add(lingerTime))
+	_ = c.SetDeadline(time.Now().Add(lingerTimeout))
 	_, err := io.Copy(io.Discard, c.Conn)
-	c.ending.proved = err == nil || !isTimeout(err)
+	c.pending.confirmed = err == nil || !isTimeout(err)
 	_ = c.Conn.Close()
-	close(c.ending.done)
+	close(c.pending.done)
 }
 
-// quiet waits until no read or write is under way. None begins after closed
-// is set.
-func (c *conn) quiet() {
-	c.write.Lock()
-	defer c.write.Unlock()
-	c.reading.Lock()
-	defer c.reading.Unlock()
+// waitForIO waits until no read or write is in progress. None starts after
+// closed is set.
+func (c *conn) waitForIO() {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 }
 
 func isTimeout(err error) bool {
--- a/internal/backend/ran_test.go
+++ b/internal/backend/ran_test.go
@@ -22,21 +22,21 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Ways to cut a connection.
+// Ways in which a connection fails.
 const (
-	whole cutting = iota
-	ended
+	noFault fault = iota
+	closed
 	reset
 	silent
 )
 
 type (
-	cutting int
+	fault int
 
-	// cut says after how many bytes, of those written or those read, a
-	// connection is cut.
+	// cut is a connection fault after a number of bytes: of those written if
+	// read is negative, otherwise of those read.
 	cut struct {
-		how           cutting
+		fault         fault
 		written, read int
 	}
 
@@ -49,8 +49,9 @@
 		once          sync.Once
 	}
 
-	// exchange is one request with what came of it.
-	exchange struct {
+	// sendRecord is the outcome of one request, at the client and in the
+	// server's record, and the bytes on its connection.
+	sendRecord struct {
 		code          result.Code
 		begun, ran    int
 		written, read int
@@ -60,7 +61,7 @@
 func (c *cutConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	left := len(p)
-	if c.cut.how != whole && c.cut.read < 0 {
+	if c.cut.fault != noFault && c.cut.read < 0 {
 		left = min(left, c.cut.written-c.written)
 	}
 	c.mu.Unlock()
@@ -79,14 +80,14 @@
 
 func (c *cutConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	done := c.cut.how != whole && c.cut.read > 0 && c.read >= c.cut.read
+	done := c.cut.fault != noFault && c.cut.read > 0 && c.read >= c.cut.read
 	c.mu.Unlock()
 	if done {
 		return 0, c.stop()
 	}
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
-	limited := c.cut.how != whole && c.cut.read >= 0
+	limited := c.cut.fault != noFault && c.cut.read >= 0
 	if limited {
 		n = min(n, c.cut.read-c.read)
 	}
@@ -104,7 +105,7 @@
 }
 
 func (c *cutConn) stop() error {
-	switch c.cut.how {
+	switch c.cut.fault {
 	case silent:
 		<-c.closed
 		return net.ErrClosed
@@ -117,9 +118,9 @@
 	}
 }
 
-// try sends one request over a connection that is cut. On a kept connection
-// the cut is counted from the end of an earlier exchange.
-func try(t *testing.T, form string, shed, kept bool, how cut) (got exchange) {
+// sendOverCutConn sends one request over a connection that fails as given by at.
+// On a kept connection, bytes are counted from the end of an earlier request.
+func sendOverCutConn(t *testing.T, form string, shed, kept bool, at cut) (got sendRecord) {
 	synctest.Test(t, func(t *testing.T) {
 		var n pipe.Network
 		addr := netip.MustParseAddrPort("10.0.0.1:80")
@@ -135,7 +136,7 @@
 			if err != nil {
 				return nil, err
 			}
-			last = &cutConn{Conn: raw, cut: how, closed: make(chan struct{})}
+			last = &cutConn{Conn: raw, cut: at, closed: make(chan struct{})}
 			if kept {
 				last.cut = cut{}
 			}
@@ -143,16 +144,17 @@
 		}}
 		target := &service.Server{Address: addr, Slots: 1, Connections: 4}
 		if kept {
-			// The first exchange shows that ids are repeated, the second is kept.
-			exchangeOnce(t, c, target, "GET", "r0")
-			exchangeOnce(t, c, target, "GET", "r0")
+			// The first request shows that the server echoes send IDs, so that
+			// the connection of the second one is kept.
+			sendOnce(t, c, target, "GET", "r0")
+			sendOnce(t, c, target, "GET", "r0")
 			synctest.Wait()
 			last.mu.Lock()
-			last.cut, last.written, last.read = how, 0, 0
+			last.cut, last.written, last.read = at, 0, 0
 			last.mu.Unlock()
 		}
 		srv.SetFaults(standin.Faults{Shed: shed})
-		got.code = exchangeOnce(t, c, target, form, "r1")
+		got.code = sendOnce(t, c, target, form, "r1")
 		synctest.Wait()
 		rec := srv.Record()
 		got.begun, got.ran = rec.Begun["r1"], rec.Ran["r1"]
@@ -164,7 +166,7 @@
 	return got
 }
 
-func exchangeOnce(t *testing.T, c *backend.Client, target *service.Server, form, id string) result.Code {
+func sendOnce(t *testing.T, c *backend.Client, target *service.Server, form, id string) result.Code {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	var req *http.Request
@@ -178,10 +180,10 @@
 		req.Body, req.ContentLength = io.NopCloser(strings.NewReader("chunks")), -1
 		req.Trailer = http.Header{"X-Sum": {"1"}}
 	}
-	ans, err := c.Send(ctx, &backend.Request{Server: target, HTTP: req, ID: "s-" + id})
+	resp, err := c.Send(ctx, &backend.Request{Server: target, HTTP: req, ID: "s-" + id})
 	if err == nil {
-		_, err = io.ReadAll(ans.Body)
-		ans.Close()
+		_, err = io.ReadAll(resp.Body)
+		resp.Close()
 	}
 	if err == nil {
 		return result.Served
@@ -189,9 +191,10 @@
 	return codeOf(err)
 }
 
-// TestCutAtEveryByte cuts the connection at every byte position of request and
-// answer, in each way, and holds what is said against the server's record.
-func TestCutAtEveryByte(t *testing.T) {
+// TestConnectionFailsAtEveryByte lets the connection fail after every byte of
+// request and response, in each way, and compares the result codes with the
+// server's record of the requests that ran.
+func TestConnectionFailsAtEveryByte(t *testing.T) {
 	tests := map[string]struct {
 		form       string
 		shed, kept bool
@@ -206,35 +209,35 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			all := try(t, tt.form, tt.shed, tt.kept, cut{})
+			all := sendOverCutConn(t, tt.form, tt.shed, tt.kept, cut{})
 			final := all.code
 			if final != result.Served && (!tt.shed || final != result.ShedByServer) {
-				t.Fatalf("uncut: code %d, %+v", final, all)
+				t.Fatalf("without a fault: code %d, %+v", final, all)
 			}
 			if tt.kept {
-				// The exchange before had the same size.
+				// The earlier request had the same size.
 				is.True(all.written > 0 && all.read > 0)
 			}
-			for _, how := range []cutting{ended, reset, silent} {
+			for _, f := range []fault{closed, reset, silent} {
 				for k := range all.written {
-					got := try(t, tt.form, tt.shed, tt.kept, cut{how: how, written: k, read: -1})
-					judge(t, got, "request", how, k)
+					got := sendOverCutConn(t, tt.form, tt.shed, tt.kept, cut{fault: f, written: k, read: -1})
+					checkRan(t, got, "request", f, k)
 					want := result.Unknown
 					if k == 0 {
 						want = result.No
 					}
-					if k == 0 && tt.kept && how != silent {
-						want = result.Yes // over a fresh connection
+					if k == 0 && tt.kept && f != silent {
+						want = result.Yes // over a new connection
 					}
 					if got.code.Ran() != want {
-						t.Errorf("request cut (%d) at %d of %d: code %d", how, k, all.written, got.code)
+						t.Errorf("fault %d at byte %d of %d of the request: code %d", f, k, all.written, got.code)
 					}
 				}
 				for k := range all.read {
-					got := try(t, tt.form, tt.shed, tt.kept, cut{how: how, read: k})
-					judge(t, got, "answer", how, k)
+					got := sendOverCutConn(t, tt.form, tt.shed, tt.kept, cut{fault: f, read: k})
+					checkRan(t, got, "response", f, k)
 					if got.code.Ran() == result.Yes {
-						t.Errorf("answer cut (%d) at %d of %d looks whole", how, k, all.read)
+						t.Errorf("fault %d at byte %d of %d of the response: it looks complete", f, k, all.read)
 					}
 				}
 			}
@@ -242,18 +245,18 @@
 	}
 }
 
-// judge looks for an answer that the record proves false.
-func judge(t *testing.T, got exchange, part string, how cutting, at int) {
+// checkRan fails the test if the result code contradicts the server's record.
+func checkRan(t *testing.T, got sendRecord, part string, f fault, at int) {
 	t.Helper()
 	ran := got.code.Ran()
 	if ran == result.No && got.ran > 0 || ran == result.Yes && got.ran != 1 {
-		t.Errorf("%s cut (%d) at %d: code %d, but it ran %d times", part, how, at, got.code, got.ran)
+		t.Errorf("fault %d at byte %d of the %s: code %d, but the request ran %d times", f, at, part, got.code, got.ran)
 	}
 }
 
-func TestNoConnection(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	is := is.New(t)
 	c := &backend.Client{Dial: func(context.Context, netip.AddrPort) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}
-	code := exchangeOnce(t, c, &service.Server{Address: netip.MustParseAddrPort("10.0.0.1:80")}, "POST", "r1")
+	code := sendOnce(t, c, &service.Server{Address: netip.MustParseAddrPort("10.0.0.1:80")}, "POST", "r1")
 	is.Equal(code, result.ConnectFailed)
 }
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -36,7 +36,7 @@
 )
 
 // take passes the answer on.
-func (d *directAnswer) take(ans *backend.Answer) error {
+func (d *directAnswer) take(ans *backend.Response) error {
 	c := d.call
 	var held []byte
 	whole := false
@@ -76,7 +76,7 @@
 	c.code = result.CallerGone
 	var failed *backend.SendError
 	if errors.As(err, &failed) {
-		c.code, c.broken = failed.Code, failed.Broken
+		c.code, c.broken = failed.Code, failed.ServerClosed
 	}
 }
 
@@ -117,7 +117,7 @@
 
 // stream copies the answer's body. An answer of unknown length is flushed as
 // it comes.
-func (c *call) stream(ans *backend.Answer) error {
+func (c *call) stream(ans *backend.Response) error {
 	buf, ok := c.h.observe.buffers.Get().(*[]byte)
 	if !ok {
 		b := make([]byte, copySize)
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -19,7 +19,7 @@
 	taker interface {
 		// take passes the answer on, or keeps it. An error means that nothing
 		// was passed on yet and that another answer may be taken.
-		take(ans *backend.Answer) error
+		take(ans *backend.Response) error
 	}
 
 	// ending is how one send ended.
@@ -30,7 +30,7 @@
 		broken, answering bool
 		// end is the end of the connection, if the server may still be running
 		// the request.
-		end *backend.Ending
+		end *backend.PendingClose
 		// passed tells that an answer was passed on, whole or not.
 		passed  bool
 		latency time.Duration
@@ -107,7 +107,7 @@
 	return e
 }
 
-func (c *call) take(t taker, ans *backend.Answer) ending {
+func (c *call) take(t taker, ans *backend.Response) ending {
 	err := t.take(ans)
 	if err != nil {
 		e := c.failure(err)
@@ -137,7 +137,7 @@
 	if !errors.As(err, &failed) {
 		return ending{code: result.CallerGone}
 	}
-	e := ending{code: failed.Code, broken: failed.Broken, answering: failed.Answering, end: failed.Ending}
+	e := ending{code: failed.Code, broken: failed.ServerClosed, answering: failed.ResponseStarted, end: failed.PendingClose}
 	if over := c.body.over.Load(); over && failed.Sent {
 		e.code = result.BodyOverLimit
 	} else if over {
--- a/internal/entry/flight.go
+++ b/internal/entry/flight.go
@@ -20,7 +20,7 @@
 	admitted chan struct{}
 	done     chan struct{}
 	permit   admission.Permit
-	ans      *backend.Answer
+	ans      *backend.Response
 	err      error
 }
 
@@ -48,7 +48,7 @@
 		if p, ok := f.permit.(admission.Paced); ok && req.Body != nil {
 			req.Body = &pacedBody{ReadCloser: req.Body, ctx: ctx, permit: p}
 		}
-		f.ans, f.err = c.h.Backend.Send(ctx, &backend.Request{Server: f.permit.Server(), HTTP: req, ID: f.send, Patience: f.patience})
+		f.ans, f.err = c.h.Backend.Send(ctx, &backend.Request{Server: f.permit.Server(), HTTP: req, ID: f.send, ReadStallTimeout: f.patience})
 	}()
 	return f
 }
@@ -110,7 +110,7 @@
 		} else if e = c.failure(f.err); e.code == result.CallerGone {
 			e.code = result.ConnectionSilent
 		}
-		c.h.Backend.Distrust(f.permit.Server())
+		c.h.Backend.CloseIdleTo(f.permit.Server())
 		c.release(f, &e)
 	}()
 }
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -180,7 +180,7 @@
 }
 
 // take keeps the whole answer.
-func (k *keptAnswer) take(ans *backend.Answer) error {
+func (k *keptAnswer) take(ans *backend.Response) error {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, maxOnceAnswer+1))
 	if err != nil {
 		return err
@@ -221,7 +221,7 @@
 }
 
 // relay passes another entry's answer on, with its code.
-func (c *call) relay(ans *backend.Answer) {
+func (c *call) relay(ans *backend.Response) {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, maxOnceAnswer))
 	code, ok := parseCode(ans.Header.Get(result.HeaderCode))
 	if err != nil || !ok {
