--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	heldAnswer = 64 << 10
-	copySize   = 32 << 10
+	maxBufferedResponse = 64 << 10
+	copyBufferSize      = 32 << 10
 )
 
 type (
-	// directAnswer passes an answer on to the caller as it comes. Answers of
-	// announced length, and all answers to reads, are held back up to
-	// heldAnswer bytes, so that one that breaks off before gets an honest code
-	// or can be asked for again.
-	directAnswer struct{ call *call }
-
-	// refusal is the body of an answer that the entry itself gives.
-	refusal struct {
+	// callerSink streams a response to the caller. Responses of known length,
+	// and all responses to reads, are first buffered up to maxBufferedResponse
+	// bytes, so that one truncated within these bytes is reported with its
+	// result code, or retried.
+	callerSink struct{ call *call }
+
+	// errorBody is the body of an error response of the entry.
+	errorBody struct {
 		Code      result.Code `json:"code"`
 		Name      string      `json:"name"`
 		Ran       string      `json:"ran"`
@@ -35,55 +35,57 @@
 	}
 )
 
-// take passes the answer on.
-func (d *directAnswer) take(ans *backend.Response) error {
+// receive forwards the response.
+func (d *callerSink) receive(resp *backend.Response) error {
 	c := d.call
-	var held []byte
-	whole := false
-	if c.class.Kind.Safe() || ans.Length >= 0 {
-		b := make([]byte, min(heldAnswer, knownSize(ans.Length))+1)
-		n, err := io.ReadFull(ans.Body, b)
-		held = b[:n]
-		// A *backend.SendError may wrap an end of file; it is none.
-		whole = err == io.EOF || err == io.ErrUnexpectedEOF
-		if err != nil && !whole {
+	var buffered []byte
+	complete := false
+	if c.class.Kind.Safe() || resp.Length >= 0 {
+		b := make([]byte, min(maxBufferedResponse, lengthOrMax(resp.Length))+1)
+		n, err := io.ReadFull(resp.Body, b)
+		buffered = b[:n]
+		// Compared with ==: a *backend.SendError may wrap io.EOF, but is a
+		// failure and no regular end.
+		complete = err == io.EOF || err == io.ErrUnexpectedEOF
+		if err != nil && !complete {
 			return err
 		}
 	}
 	c.code = result.Served
-	c.head(ans.Status, ans.Header, ans.Length, ans.Trailer)
-	err := c.write(held)
-	if err == nil && !whole {
-		err = c.stream(ans)
+	c.writeHeader(resp.Status, resp.Header, resp.Length, resp.Trailer)
+	err := c.write(buffered)
+	if err == nil && !complete {
+		err = c.stream(resp)
 	}
 	if err != nil {
-		c.cut(err)
+		c.recordFailure(err)
 		return nil
 	}
-	c.trail(ans.Trailer)
+	c.setTrailer(resp.Trailer)
 	return nil
 }
 
-func knownSize(length int64) int64 {
+func lengthOrMax(length int64) int64 {
 	if length < 0 {
-		return heldAnswer
+		return maxBufferedResponse
 	}
 	return length
 }
 
-// cut notes how a passed-on answer broke off, and ends the connection.
-func (c *call) cut(err error) {
+// recordFailure records the result code of a response that ended while it was
+// forwarded. finish then closes the caller's connection.
+func (c *call) recordFailure(err error) {
 	c.code = result.CallerGone
 	var failed *backend.SendError
 	if errors.As(err, &failed) {
-		c.code, c.broken = failed.Code, failed.ServerClosed
+		c.code, c.serverClosed = failed.Code, failed.ServerClosed
 	}
 }
 
-// head writes status and headers of a backend server's answer.
-func (c *call) head(status int, header http.Header, length int64, trailer http.Header) {
+// writeHeader writes the status and headers of a backend server's response.
+func (c *call) writeHeader(status int, header http.Header, length int64, trailer http.Header) {
 	h := c.w.Header()
-	passOn(h, header)
+	copyEndToEnd(h, header)
 	h.Del("Content-Length")
 	if length >= 0 && len(trailer) == 0 && status != http.StatusNoContent {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
@@ -91,17 +93,17 @@
 		h.Set("Content-Length", v)
 	}
 	for k := range trailer {
-		if !isInternal(k) {
+		if !isSystemHeader(k) {
 			h.Add("Trailer", k)
 		}
 	}
-	c.own()
-	c.status, c.headed = status, true
+	c.setSystemHeaders()
+	c.status, c.headerWritten = status, true
 	c.w.WriteHeader(status)
 }
 
-// own sets the headers of the system.
-func (c *call) own() {
+// setSystemHeaders sets the Shallotpier headers of the response.
+func (c *call) setSystemHeaders() {
 	h := c.w.Header()
 	h.Set(result.HeaderCode, c.code.String())
 	h.Set(result.HeaderRan, c.code.Ran().String())
@@ -115,23 +117,23 @@
 	}
 }
 
-// stream copies the answer's body. An answer of unknown length is flushed as
-// it comes.
-func (c *call) stream(ans *backend.Response) error {
-	buf, ok := c.h.observe.buffers.Get().(*[]byte)
+// stream copies the response body. A response of unknown length is flushed
+// after each read.
+func (c *call) stream(resp *backend.Response) error {
+	buf, ok := c.h.instruments.buffers.Get().(*[]byte)
 	if !ok {
-		b := make([]byte, copySize)
+		b := make([]byte, copyBufferSize)
 		buf = &b
 	}
-	defer c.h.observe.buffers.Put(buf)
+	defer c.h.instruments.buffers.Put(buf)
 	control := http.NewResponseController(c.w)
 	for {
-		n, err := ans.Body.Read(*buf)
+		n, err := resp.Body.Read(*buf)
 		if n > 0 {
 			if werr := c.write((*buf)[:n]); werr != nil {
 				return werr
 			}
-			if ans.Length < 0 {
+			if resp.Length < 0 {
 				_ = control.Flush()
 			}
 		}
@@ -144,43 +146,44 @@
 	}
 }
 
-// write writes a part of the answer, and fails if the caller takes nothing of
-// it for too long.
+// write writes a part of the response, and fails if the caller does not read
+// within callerIdleTimeout.
 func (c *call) write(p []byte) error {
 	control := http.NewResponseController(c.w)
-	_ = control.SetWriteDeadline(time.Now().Add(c.h.callerSilence()))
+	_ = control.SetWriteDeadline(time.Now().Add(c.h.callerIdleTimeout()))
 	n, err := c.w.Write(p)
-	c.out += int64(n)
+	c.bytesOut += int64(n)
 	if err == nil {
 		_ = control.SetWriteDeadline(time.Time{})
 	}
 	return err
 }
 
-func (c *call) trail(trailer http.Header) {
+func (c *call) setTrailer(trailer http.Header) {
 	for k, vs := range trailer {
-		if !isInternal(k) {
+		if !isSystemHeader(k) {
 			c.w.Header()[k] = vs
 		}
 	}
 }
 
-// refuse answers in the entry's own name.
-func (c *call) refuse(code result.Code, after time.Duration) {
+// writeError writes an error response of the entry. A positive retryAfter is
+// rounded up to whole seconds.
+func (c *call) writeError(code result.Code, retryAfter time.Duration) {
 	c.code = code
 	info, _ := code.Info()
 	c.status = info.Status
 	if c.status == 0 {
 		c.status = http.StatusInternalServerError
 	}
-	c.own()
+	c.setSystemHeaders()
 	h := c.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
-	if after > 0 {
-		h.Set("Retry-After", strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10))
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatInt(int64((retryAfter+time.Second-1)/time.Second), 10))
 	}
-	c.writeJSON(&refusal{Code: code, Name: info.Name, Ran: info.Ran.String(), Meaning: info.Meaning, RequestID: c.id})
+	c.writeJSON(&errorBody{Code: code, Name: info.Name, Ran: info.Ran.String(), Meaning: info.Meaning, RequestID: c.id})
 }
 
 func (c *call) writeJSON(v any) {
@@ -189,11 +192,11 @@
 		c.w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	c.headed = true
+	c.headerWritten = true
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(b)+1))
 	c.w.WriteHeader(c.status)
 	n, _ := c.w.Write(append(b, '\n'))
-	c.out += int64(n)
+	c.bytesOut += int64(n)
 }
 
 func (c *call) serviceName() id.Service {
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// paceSize is the greatest number of bytes that wait for their permit.
-	paceSize = 16 << 10
-	minPause = time.Millisecond
+	// maxPacedRead is the maximum number of bytes read at once from a paced
+	// body.
+	maxPacedRead   = 16 << 10
+	minPacingDelay = time.Millisecond
 )
 
-var errOverLimit = errors.New("body is over the class's limit")
+var errOverLimit = errors.New("body exceeds the class's limit")
 
-// callerBody reads a caller's body up to the class's limit, and gives up on a
-// caller that has sent nothing for too long.
+// callerBody reads a caller's body up to the class's limit. A read fails if the
+// caller sends nothing for idleTimeout.
 type callerBody struct {
-	src     io.ReadCloser
-	req     *http.Request
-	control *http.ResponseController
-	left    int64
-	silence time.Duration
-	over    atomic.Bool
-	closed  atomic.Bool
-	read    atomic.Int64
+	src         io.ReadCloser
+	req         *http.Request
+	control     *http.ResponseController
+	remaining   int64
+	idleTimeout time.Duration
+	overLimit   atomic.Bool
+	closed      atomic.Bool
+	read        atomic.Int64
 }
 
-// pacedBody passes a body on at the rate of its permit.
+// pacedBody limits a body to the rate of its permit.
 type pacedBody struct {
 	io.ReadCloser
 	ctx    context.Context
 	permit admission.Paced
 }
 
-// Read reads from the body, and returns when all that it read may be sent.
+// Read reads from the body, and returns once the permit allows all bytes read to
+// be sent.
 func (b *pacedBody) Read(p []byte) (int, error) {
-	n, err := b.ReadCloser.Read(p[:min(len(p), paceSize)])
+	n, err := b.ReadCloser.Read(p[:min(len(p), maxPacedRead)])
 	for left := n; left > 0; {
 		granted, wait := b.permit.Next(time.Now(), left)
 		left -= granted
@@ -49,7 +51,7 @@
 			break
 		}
 		select {
-		case <-time.After(max(wait, minPause)):
+		case <-time.After(max(wait, minPacingDelay)):
 		case <-b.ctx.Done():
 			return 0, b.ctx.Err()
 		}
@@ -58,14 +60,14 @@
 }
 
 func newCallerBody(c *call) *callerBody {
-	return &callerBody{src: c.r.Body, req: c.r, control: http.NewResponseController(c.w), left: int64(c.class.BodyLimit), silence: c.h.callerSilence()}
+	return &callerBody{src: c.r.Body, req: c.r, control: http.NewResponseController(c.w), remaining: int64(c.class.BodyLimit), idleTimeout: c.h.callerIdleTimeout()}
 }
 
-func (h *Handler) callerSilence() time.Duration {
-	if h.CallerSilence == 0 {
-		return callerSilent
+func (h *Handler) callerIdleTimeout() time.Duration {
+	if h.CallerIdleTimeout == 0 {
+		return defaultCallerIdleTimeout
 	}
-	return h.CallerSilence
+	return h.CallerIdleTimeout
 }
 
 // Read reads from the caller.
@@ -73,52 +75,54 @@
 	if b.closed.Load() {
 		return 0, io.ErrClosedPipe
 	}
-	_ = b.control.SetReadDeadline(time.Now().Add(b.silence))
+	_ = b.control.SetReadDeadline(time.Now().Add(b.idleTimeout))
 	n, err := b.src.Read(p)
 	b.read.Add(int64(n))
-	if b.left -= int64(n); b.left < 0 {
-		b.over.Store(true)
+	if b.remaining -= int64(n); b.remaining < 0 {
+		b.overLimit.Store(true)
 		return 0, errOverLimit
 	}
 	if err != nil {
 		_ = b.control.SetReadDeadline(time.Time{})
 	}
 	if errors.Is(err, io.EOF) {
-		dropInternal(b.req.Trailer)
+		removeSystemHeaders(b.req.Trailer)
 	}
 	return n, err
 }
 
-// Close leaves the body open, for the server to close.
+// Close leaves the body open; the HTTP server closes it.
 func (b *callerBody) Close() error { return nil }
 
-// total returns the number of bytes read.
-func (b *callerBody) total() int64 {
+// bytesRead returns the number of bytes read.
+func (b *callerBody) bytesRead() int64 {
 	if b == nil {
 		return 0
 	}
 	return b.read.Load()
 }
 
-// end keeps the connection's next request from being disturbed.
-func (b *callerBody) end() {
+// stop makes later reads fail, so that a send still in progress can't consume
+// bytes of the connection's next request.
+func (b *callerBody) stop() {
 	if b != nil {
 		b.closed.Store(true)
 	}
 }
 
-// untouched tells whether no byte was read.
-func (b *callerBody) untouched() bool { return b.read.Load() == 0 }
+// unread reports whether no byte was read.
+func (b *callerBody) unread() bool { return b.read.Load() == 0 }
 
-// trailer returns the trailer, which the server fills once the body has ended.
+// trailer returns the trailer, which the HTTP server fills at the end of the
+// body.
 func (b *callerBody) trailer() http.Header {
-	dropInternal(b.req.Trailer)
+	removeSystemHeaders(b.req.Trailer)
 	return b.req.Trailer
 }
 
-func dropInternal(h http.Header) {
+func removeSystemHeaders(h http.Header) {
 	for k := range h {
-		if isInternal(k) {
+		if isSystemHeader(k) {
 			delete(h, k)
 		}
 	}
--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -8,16 +8,16 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Budgets is a Budget that counts each service by itself. The zero Budgets is
-// ready for use.
+// Budgets is a Budget that keeps a separate retry budget for each service. The
+// zero Budgets is ready for use.
 type Budgets struct{ services sync.Map } // id.Service to *retry.Budget
 
-// First notes the first send of a request.
-func (b *Budgets) First(now time.Time, file *service.File) { b.of(file).First(now) }
+// CountFirst counts the first send of a request.
+func (b *Budgets) CountFirst(now time.Time, file *service.File) { b.of(file).First(now) }
 
-// Retry tells whether one more send is within the service's budget, and spends
-// it if so.
-func (b *Budgets) Retry(now time.Time, file *service.File) bool {
+// TakeRetry reports whether a retry is within the service's budget, and if so
+// takes it from the budget.
+func (b *Budgets) TakeRetry(now time.Time, file *service.File) bool {
 	return b.of(file).Take(now, file.Retry.Budget)
 }
 
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	smallBody      = 64 << 10
-	maxOnceBody    = 8 << 20
-	spreadTime     = 300 * time.Millisecond
-	cancelTime     = 2 * time.Second
-	callerSilent   = 90 * time.Second
-	maxUnconnected = 3
+	maxBufferedBody          = 64 << 10
+	maxAtMostOnceBody        = 8 << 20
+	broadcastTimeout         = 300 * time.Millisecond
+	cancelDelay              = 2 * time.Second
+	defaultCallerIdleTimeout = 90 * time.Second
+	maxConnectFailures       = 3
 )
 
-// call is one request of a caller, from its arrival to its log line.
+// call is the state of one request of a caller, from its arrival to its log
+// line.
 type call struct {
 	h       *Handler
 	w       http.ResponseWriter
@@ -41,27 +42,27 @@
 	table   *Table
 	caller  netip.Addr
 
-	file     *service.File
-	class    *service.Class
-	path     string
-	deadline time.Time
-	body     *callerBody
-	small    []byte
-	digest   string
-	print    quarantine.Fingerprint
+	file         *service.File
+	class        *service.Class
+	path         string
+	deadline     time.Time
+	body         *callerBody
+	bufferedBody []byte
+	digest       string
+	fingerprint  quarantine.Fingerprint
 
-	// What became of it, for the answer and the log line.
+	// The outcome, for the response and the log line.
 	code     result.Code
 	server   id.Server
 	status   int
-	out      int64
+	bytesOut int64
 	attempts int
-	// unconnected counts failed connections that are not among attempts.
-	unconnected int
-	headed      bool
-	broken      bool
-	doubt       result.Code
-	spreads     *sync.WaitGroup
+	// connectFailures counts failed connections, which are not attempts.
+	connectFailures int
+	headerWritten   bool
+	serverClosed    bool
+	ambiguous       result.Code
+	broadcasts      *sync.WaitGroup
 }
 
 // request handles a request to a service; rest is the path after ServicePath.
@@ -70,26 +71,26 @@
 	c.path = "/" + path
 	c.file = c.table.Services[id.Service(name)]
 	if c.file == nil {
-		c.refuse(result.NoService, 0)
+		c.writeError(result.NoService, 0)
 		return
 	}
 	if c.class = c.file.Match(c.r.Method, c.path); c.class == nil {
-		c.refuse(result.NoClass, 0)
+		c.writeError(result.NoClass, 0)
 		return
 	}
-	left, ok := timeLeft(c.r.Header.Get(result.HeaderDeadline), c.class.Deadline.Std())
+	timeout, ok := requestTimeout(c.r.Header.Get(result.HeaderDeadline), c.class.Deadline.Std())
 	switch {
 	case !ok:
-		c.refuse(result.BadRequest, 0)
+		c.writeError(result.BadRequest, 0)
 		return
 	case c.r.ContentLength > int64(c.class.BodyLimit):
-		c.refuse(result.BodyTooLarge, 0)
+		c.writeError(result.BodyTooLarge, 0)
 		return
 	case c.class.Kind != service.Once && c.h.leaving():
-		c.refuse(result.EntryLeaving, 0)
+		c.writeError(result.EntryLeaving, 0)
 		return
 	}
-	c.deadline = c.started.Add(left)
+	c.deadline = c.started.Add(timeout)
 	ctx, cancel := context.WithDeadline(c.ctx, c.deadline)
 	defer cancel()
 	c.ctx, c.caller = ctx, callerAddr(c.r)
@@ -98,34 +99,34 @@
 		c.once()
 		return
 	}
-	if code := c.readSmall(smallBody); code != 0 {
-		c.refuse(code, 0)
+	if code := c.bufferBody(maxBufferedBody); code != 0 {
+		c.writeError(code, 0)
 		return
 	}
-	c.checked(func() { c.carry(&directAnswer{call: c}) })
+	c.runUnlessQuarantined(func() { c.sendWithRetries(&callerSink{call: c}) })
 }
 
-// checked runs the request unless its fingerprint is kept away.
-func (c *call) checked(run func()) {
-	c.fingerprint()
+// runUnlessQuarantined runs the request unless its fingerprint is quarantined.
+func (c *call) runUnlessQuarantined(run func()) {
+	c.computeFingerprint()
 	if c.h.Quarantine == nil {
 		run()
 		return
 	}
-	v := c.h.Quarantine.Check(time.Now(), c.print)
+	v := c.h.Quarantine.Check(time.Now(), c.fingerprint)
 	if v.Refused {
-		c.refuse(result.Quarantined, v.RetryAfter)
+		c.writeError(result.Quarantined, v.RetryAfter)
 		return
 	}
 	if v.Probation {
-		defer c.h.Quarantine.Done(c.print)
+		defer c.h.Quarantine.Done(c.fingerprint)
 	}
 	run()
 }
 
-// readSmall reads an announced body of at most limit bytes, so that it can be
+// bufferBody reads a body of known length up to limit bytes, so that it can be
 // sent again and fingerprinted by its content. It returns 0 or a result code.
-func (c *call) readSmall(limit int64) result.Code {
+func (c *call) bufferBody(limit int64) result.Code {
 	n := c.r.ContentLength
 	if n < 0 || n > limit || len(c.r.Trailer) > 0 {
 		c.digest = c.r.Header.Get("Content-Digest")
@@ -136,18 +137,19 @@
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c.body, b); err != nil {
-		return c.bodyCode()
+		return c.bodyErrorCode()
 	}
-	c.small = b
+	c.bufferedBody = b
 	sum := sha256.Sum256(b)
 	c.digest = hex.EncodeToString(sum[:])
 	return 0
 }
 
-// bodyCode tells why a body could not be read before anything was sent.
-func (c *call) bodyCode() result.Code {
+// bodyErrorCode returns the result code of a body that could not be read, while
+// nothing has been sent.
+func (c *call) bodyErrorCode() result.Code {
 	switch {
-	case c.body.over.Load():
+	case c.body.overLimit.Load():
 		return result.BodyTooLarge
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
 		return result.DeadlinePassed
@@ -156,7 +158,7 @@
 	}
 }
 
-func (c *call) fingerprint() {
+func (c *call) computeFingerprint() {
 	t := quarantine.Traits{
 		Service: c.file.Service, Method: c.r.Method, Path: c.path, Key: c.r.Header.Get(result.HeaderKey),
 		Length: unit.Bytes(c.r.ContentLength), Digest: c.digest,
@@ -164,11 +166,13 @@
 	if c.r.URL.RawQuery != "" {
 		t.Path += "?" + c.r.URL.RawQuery
 	}
-	c.print = t.Fingerprint()
+	c.fingerprint = t.Fingerprint()
 }
 
-// outgoing returns the request as it is sent to a backend server.
-func (c *call) outgoing() *http.Request {
+// outgoingRequest returns the request as it is sent to a backend server: without
+// the service prefix, hop-by-hop headers and the caller's Shallotpier headers,
+// but with the request ID.
+func (c *call) outgoingRequest() *http.Request {
 	u := *c.r.URL
 	prefix := ServicePath + string(c.file.Service)
 	u.Path = c.path
@@ -179,15 +183,15 @@
 	}
 	u.User, u.Fragment = nil, ""
 	out := &http.Request{Method: c.r.Method, URL: &u, Host: c.r.Host, Header: http.Header{}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
-	passOn(out.Header, c.r.Header)
+	copyEndToEnd(out.Header, c.r.Header)
 	out.Header.Del("Expect")
 	if strings.Contains(strings.ToLower(c.r.Header.Get("Te")), "trailers") {
 		out.Header.Set("Te", "trailers")
 	}
 	out.Header.Set(result.HeaderRequestID, c.id)
 	switch {
-	case c.small != nil:
-		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(c.small)), int64(len(c.small))
+	case c.bufferedBody != nil:
+		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(c.bufferedBody)), int64(len(c.bufferedBody))
 	case c.r.ContentLength != 0:
 		out.Body, out.ContentLength, out.Trailer = c.body, c.r.ContentLength, c.body.trailer()
 		if v := c.r.Header.Get("Expect"); v != "" {
@@ -204,7 +208,7 @@
 	return p
 }
 
-func (c *call) admission(tried []id.Server) *admission.Request {
+func (c *call) admissionRequest(tried []id.Server) *admission.Request {
 	return &admission.Request{
 		Service: c.file, Class: c.class, Caller: c.caller, Deadline: c.deadline, Body: unit.Bytes(c.r.ContentLength), Tried: tried,
 	}
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -15,157 +15,160 @@
 )
 
 type (
-	// taker takes a backend server's answer.
-	taker interface {
-		// take passes the answer on, or keeps it. An error means that nothing
-		// was passed on yet and that another answer may be taken.
-		take(ans *backend.Response) error
+	// responseSink consumes the response of a backend server.
+	responseSink interface {
+		// receive forwards or stores the response. An error means that nothing
+		// was forwarded, so that the sink may receive another response.
+		receive(resp *backend.Response) error
 	}
 
-	// ending is how one send ended.
-	ending struct {
+	// sendResult is the outcome of one send.
+	sendResult struct {
 		code result.Code
-		// broken tells that the server ended the connection; answering, that
-		// it had begun to answer.
-		broken, answering bool
-		// end is the end of the connection, if the server may still be running
-		// the request.
-		end *backend.PendingClose
-		// passed tells that an answer was passed on, whole or not.
-		passed  bool
-		latency time.Duration
-		after   time.Duration
+		// serverClosed is set if the server closed the connection;
+		// responseStarted, if it had begun to respond.
+		serverClosed, responseStarted bool
+		// pendingClose is the pending close of the connection, if the server may
+		// still be running the request.
+		pendingClose *backend.PendingClose
+		// forwarded is set if a response was forwarded, completely or in part.
+		forwarded  bool
+		latency    time.Duration
+		retryAfter time.Duration
 	}
 )
 
-// carry sends the request, again where that is safe, and answers the caller.
-func (c *call) carry(t taker) {
+// sendWithRetries sends the request, retries it where that is safe, and responds
+// to the caller.
+func (c *call) sendWithRetries(sink responseSink) {
 	var tried []id.Server
-	var last ending
+	var last sendResult
 	for {
-		e, used := c.attempt(t, tried)
-		if e.passed {
-			c.code = e.code
-			if e.broken {
-				c.spreads.Wait()
+		res, used := c.attempt(sink, tried)
+		if res.forwarded {
+			c.code = res.code
+			if res.serverClosed {
+				c.broadcasts.Wait()
 			}
 			return
 		}
 		if len(used) == 0 && len(tried) > 0 {
-			e = last // no further permit; the last send tells more
+			res = last // no further permit; the last result is more specific
 		}
-		if len(used) == 0 || !c.again(&e) {
-			c.giveUp(&e)
+		if len(used) == 0 || !c.allowRetry(&res) {
+			c.fail(&res)
 			return
 		}
-		tried, last = append(tried, used...), e
+		tried, last = append(tried, used...), res
 	}
 }
 
-// giveUp answers that the request failed. A request that may have run in an
-// earlier send is never said not to have run. The other entries know of its
-// crashes by then.
-func (c *call) giveUp(e *ending) {
-	c.spreads.Wait()
-	if c.doubt != 0 {
-		c.refuse(c.doubt, 0)
+// fail responds that the request failed. If an earlier send may have run the
+// request, the response has the code of that send, never one that means "not
+// run". It first waits for the broadcast of crash reports, so that a caller that
+// retries at another entry finds the request quarantined.
+func (c *call) fail(res *sendResult) {
+	c.broadcasts.Wait()
+	if c.ambiguous != 0 {
+		c.writeError(c.ambiguous, 0)
 		return
 	}
-	c.refuse(e.code, e.after)
+	c.writeError(res.code, res.retryAfter)
 }
 
-// attempt sends the request, a read perhaps over two connections, and passes
-// the answer on. It returns the servers that were tried.
-func (c *call) attempt(t taker, tried []id.Server) (ending, []id.Server) {
-	f := c.launch(tried)
-	f, used := c.race(f, tried)
-	return c.settle(t, f), used
+// attempt sends the request, possibly hedged if it is a read, and forwards the
+// response. It returns the servers that were tried.
+func (c *call) attempt(sink responseSink, tried []id.Server) (sendResult, []id.Server) {
+	s := c.startSend(tried)
+	s, used := c.awaitOrHedge(s, tried)
+	return c.finishSend(sink, s), used
 }
 
-// settle passes the answer on and gives the permit back.
-func (c *call) settle(t taker, f *flight) ending {
-	defer f.cancel()
-	if f.permit == nil {
+// finishSend forwards the response and releases the permit.
+func (c *call) finishSend(sink responseSink, s *pendingSend) sendResult {
+	defer s.cancel()
+	if s.permit == nil {
 		c.attempts--
-		return c.refusal(f.err)
+		return c.admissionFailure(s.err)
 	}
-	c.server = f.permit.Server().Name
-	var e ending
-	if f.err == nil {
-		e = c.take(t, f.ans)
-		if end := f.ans.Close(); end != nil {
-			e.end = end
+	c.server = s.permit.Server().Name
+	var res sendResult
+	if s.err == nil {
+		res = c.forward(sink, s.resp)
+		if pending := s.resp.Close(); pending != nil {
+			res.pendingClose = pending
 		}
 	} else {
-		e = c.failure(f.err)
+		res = c.sendFailure(s.err)
 	}
-	c.release(f, &e)
-	c.judge(&e, f)
-	if !e.passed && e.code.Ran() != result.No {
-		c.doubt = e.code
+	c.releasePermit(s, &res)
+	c.reportOutcome(&res, s)
+	if !res.forwarded && res.code.Ran() != result.No {
+		c.ambiguous = res.code
 	}
-	return e
+	return res
 }
 
-func (c *call) take(t taker, ans *backend.Response) ending {
-	err := t.take(ans)
+func (c *call) forward(sink responseSink, resp *backend.Response) sendResult {
+	err := sink.receive(resp)
 	if err != nil {
-		e := c.failure(err)
-		e.latency = ans.Latency
-		return e
+		res := c.sendFailure(err)
+		res.latency = resp.Latency
+		return res
 	}
-	return ending{code: c.code, broken: c.broken, answering: true, passed: true, latency: ans.Latency}
+	return sendResult{code: c.code, serverClosed: c.serverClosed, responseStarted: true, forwarded: true, latency: resp.Latency}
 }
 
-// refusal turns a refused admission into an ending.
-func (c *call) refusal(err error) ending {
+// admissionFailure returns the result of a send that got no permit.
+func (c *call) admissionFailure(err error) sendResult {
 	var refused *admission.RefusedError
 	switch {
 	case errors.As(err, &refused):
-		return ending{code: refused.Code, after: refused.RetryAfter}
+		return sendResult{code: refused.Code, retryAfter: refused.RetryAfter}
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
-		return ending{code: result.DeadlinePassed}
+		return sendResult{code: result.DeadlinePassed}
 	case c.ctx.Err() != nil:
-		return ending{code: result.CallerLeft}
+		return sendResult{code: result.CallerLeft}
 	default:
-		return ending{code: result.NoCapacity, after: time.Second}
+		return sendResult{code: result.NoCapacity, retryAfter: time.Second}
 	}
 }
 
-func (c *call) failure(err error) ending {
+func (c *call) sendFailure(err error) sendResult {
 	var failed *backend.SendError
 	if !errors.As(err, &failed) {
-		return ending{code: result.CallerGone}
+		return sendResult{code: result.CallerGone}
 	}
-	e := ending{code: failed.Code, broken: failed.ServerClosed, answering: failed.ResponseStarted, end: failed.PendingClose}
-	if over := c.body.over.Load(); over && failed.Sent {
-		e.code = result.BodyOverLimit
+	res := sendResult{code: failed.Code, serverClosed: failed.ServerClosed, responseStarted: failed.ResponseStarted, pendingClose: failed.PendingClose}
+	if over := c.body.overLimit.Load(); over && failed.Sent {
+		res.code = result.BodyOverLimit
 	} else if over {
-		e.code = result.BodyTooLarge
+		res.code = result.BodyTooLarge
 	}
-	if e.code == result.ShedByServer {
-		e.after = time.Second
+	if res.code == result.ShedByServer {
+		res.retryAfter = time.Second
 	}
-	return e
+	return res
 }
 
-// release gives the permit back: at once if the server can't be running the
-// request, and otherwise when it has ended the connection.
-func (c *call) release(f *flight, e *ending) {
-	out := admission.Outcome{Code: e.code, Latency: e.latency}
-	if e.end == nil {
-		f.permit.Release(out)
+// releasePermit releases the permit: at once if the server can't be running the
+// request, otherwise once the server has closed the connection.
+func (c *call) releasePermit(s *pendingSend, res *sendResult) {
+	out := admission.Outcome{Code: res.code, Latency: res.latency}
+	if res.pendingClose == nil {
+		s.permit.Release(out)
 		return
 	}
 	c.h.running.Add(1)
 	deadline := c.deadline
 	go func() {
 		defer c.h.running.Add(-1)
-		if !e.end.Wait() {
-			// The server may not have heard that nobody waits.
-			out.Running = latest(deadline, time.Now().Add(cancelTime))
+		if !res.pendingClose.Wait() {
+			// The server may not have received the half-close, and may run the
+			// request until its deadline.
+			out.Running = latest(deadline, time.Now().Add(cancelDelay))
 		}
-		f.permit.Release(out)
+		s.permit.Release(out)
 	}()
 }
 
@@ -176,89 +179,93 @@
 	return b
 }
 
-// judge tells the quarantine, and the other entries, what the send showed. A
-// server that ends the connection before it answers counts as crashed; one
-// that does in the middle of an answer only if it takes no new connection.
-func (c *call) judge(e *ending, f *flight) {
+// reportOutcome reports a crash or a success to the quarantine and broadcasts the
+// report. A server that closes the connection before it responds counts as
+// crashed; one that closes it in the middle of a response counts as crashed only
+// if it does not accept a new connection.
+func (c *call) reportOutcome(res *sendResult, s *pendingSend) {
 	q := c.h.Quarantine
 	switch {
 	case q == nil:
-	case e.broken:
-		if e.answering && c.h.Backend.Alive(context.WithoutCancel(c.ctx), f.permit.Server()) {
+	case res.serverClosed:
+		if res.responseStarted && c.h.Backend.Alive(context.WithoutCancel(c.ctx), s.permit.Server()) {
 			return
 		}
-		c.spread(q.Sight(time.Now(), c.print, c.origin(f)))
-	case e.code == result.Served:
-		if news, ok := q.Clear(time.Now(), c.print); ok {
-			c.spread(news)
+		c.broadcast(q.Sight(time.Now(), c.fingerprint, c.crashOrigin(s)))
+	case res.code == result.Served:
+		if report, ok := q.Clear(time.Now(), c.fingerprint); ok {
+			c.broadcast(report)
 		}
 	}
 }
 
-// origin tells of a send that broke. Of two sends of one request that were
-// under way together, the second counts as begun after the first had broken:
-// they can't have met by chance.
-func (c *call) origin(f *flight) quarantine.Origin {
-	o := quarantine.Origin{Service: c.file.Service, Class: c.class.Name, Send: f.send, Began: f.began}
+// crashOrigin describes the send that crashed a server. Of two concurrent sends
+// of one request, the second counts as begun after the crash of the first: they
+// went to different servers, so that two crashes are no coincidence.
+func (c *call) crashOrigin(s *pendingSend) quarantine.Origin {
+	o := quarantine.Origin{Service: c.file.Service, Class: c.class.Name, Send: s.id, Began: s.started}
 	if c.attempts > 1 {
 		o.Began = time.Now()
 	}
 	return o
 }
 
-// spread tells the other entries. Callers are not told that their request
-// failed before it has ended.
-func (c *call) spread(news quarantine.Sighting) {
+// broadcast sends a report to the other entries, in the background. A caller gets
+// its error response only after the broadcast has ended.
+func (c *call) broadcast(report quarantine.Sighting) {
 	if c.h.Spread == nil {
 		return
 	}
-	c.spreads.Go(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), spreadTime)
+	c.broadcasts.Go(func() {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), broadcastTimeout)
 		defer cancel()
-		c.h.Spread.Spread(ctx, news)
+		c.h.Spread.Spread(ctx, report)
 	})
 }
 
-// again tells whether the request may be sent once more after e. A failed
-// connection is no send; only maxUnconnected of them are taken so, so that a
-// request ends when no server can be reached.
-func (c *call) again(e *ending) bool {
-	unsent := e.code == result.ConnectFailed && c.unconnected < maxUnconnected
+// allowRetry reports whether the request may be retried after a failed send. A
+// failed connection is not an attempt; only maxConnectFailures of them are
+// exempted, so that a request ends when no server can be reached.
+func (c *call) allowRetry(res *sendResult) bool {
+	unsent := res.code == result.ConnectFailed && c.connectFailures < maxConnectFailures
 	if unsent {
-		c.unconnected++
+		c.connectFailures++
 		c.attempts--
 	}
-	try := retry.Try{Kind: c.class.Kind, Code: e.code, Sends: max(c.attempts, 1), Attempts: c.file.Retry.Attempts, Deadline: c.deadline}
+	try := retry.Try{Kind: c.class.Kind, Code: res.code, Sends: max(c.attempts, 1), Attempts: c.file.Retry.Attempts, Deadline: c.deadline}
 	if unsent {
-		try.Attempts++ // counts the failed connection as one
+		try.Attempts++ // the failed connection counts as one of Sends
 	}
 	if !retry.Allowed(&try, time.Now()) {
 		return false
 	}
-	if e.broken && c.h.Quarantine != nil && c.h.Quarantine.Quarantined(time.Now(), c.print) {
+	if res.serverClosed && c.h.Quarantine != nil && c.h.Quarantine.Quarantined(time.Now(), c.fingerprint) {
 		return false
 	}
-	if e.code == result.ConnectFailed {
-		return c.canResend() // it was no load to any server
+	if res.code == result.ConnectFailed {
+		return c.canRetry() // it put no load on any server
 	}
-	return c.mayResend()
+	return c.takeRetry()
 }
 
-// mayResend tells whether one more send is possible and within the budget.
-func (c *call) mayResend() bool {
-	return c.canResend() && c.h.Budget.Retry(time.Now(), c.file)
+// takeRetry reports whether a retry is possible and within the budget, and if so
+// takes it from the budget.
+func (c *call) takeRetry() bool {
+	return c.canRetry() && c.h.Budget.TakeRetry(time.Now(), c.file)
 }
 
-func (c *call) canResend() bool {
+func (c *call) canRetry() bool {
 	if c.h.Budget == nil || c.ctx.Err() != nil || c.attempts >= c.file.Retry.Attempts {
 		return false
 	}
-	return c.small != nil || c.r.ContentLength == 0 || c.body.untouched()
+	return c.bufferedBody != nil || c.r.ContentLength == 0 || c.body.unread()
 }
 
-// patience is how long a read's connection may stay silent: an equal part of
-// the time left for each send that remains. The last send has all of it.
-func (c *call) patience() time.Duration {
+// attemptTimeout returns how long a read may make no progress before it is hedged
+// or retried: the remaining time divided by the remaining sends. It is 0, which
+// means no limit, for the last send, for requests that are not reads, and if
+// there is no Budget.
+func (c *call) attemptTimeout() time.Duration {
 	sends := c.file.Retry.Attempts - c.attempts + 1
 	if !c.class.Kind.Safe() || sends <= 1 || c.h.Budget == nil {
 		return 0
@@ -266,6 +273,6 @@
 	return max(time.Until(c.deadline)/time.Duration(sends), time.Millisecond)
 }
 
-// abort ends the caller's connection, so that a part of an answer can't look
-// whole.
-func abort() { panic(http.ErrAbortHandler) }
+// abortConnection closes the caller's connection, so that a truncated response
+// can't look complete.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	maxRequestID  = 64
-	maxPath       = 8 << 10
-	maxKey        = 256
-	internalStart = "shallotpier-"
+	maxRequestID = 64
+	maxPath      = 8 << 10
+	maxKey       = 256
+	systemPrefix = "shallotpier-"
 )
 
-// checkRequest tells whether a request is one that may be looked at further.
-func checkRequest(r *http.Request) bool {
+// isValidRequest reports whether protocol version, method, path and the headers
+// for ticket and idempotency key are acceptable.
+func isValidRequest(r *http.Request) bool {
 	return r.ProtoAtLeast(1, 1) && r.Method != http.MethodConnect && r.Method != http.MethodTrace &&
 		len(r.Header.Values(result.HeaderTicket)) <= 1 && len(r.Header.Values(result.HeaderKey)) <= 1 &&
-		len(r.Header.Get(result.HeaderKey)) <= maxKey && checkPath(r.URL.EscapedPath(), r.URL.Path)
+		len(r.Header.Get(result.HeaderKey)) <= maxKey && isValidPath(r.URL.EscapedPath(), r.URL.Path)
 }
 
-// checkPath refuses paths that a backend server could read as another path
+// isValidPath rejects paths that a backend server could interpret as another path
 // than the one whose class was matched: empty and dot segments, encoded
 // slashes, backslashes and control characters.
-func checkPath(escaped, path string) bool {
+func isValidPath(escaped, path string) bool {
 	if len(escaped) > maxPath || !strings.HasPrefix(path, "/") {
 		return false
 	}
@@ -52,16 +53,16 @@
 	return true
 }
 
-// behind tells whether a caller has seen a later configuration than the entry
-// has. Callers say which one they saw.
-func behind(r *http.Request, t *Table) bool {
+// isBehindCaller reports whether the caller's version header names a later
+// configuration than the entry has.
+func isBehindCaller(r *http.Request, t *Table) bool {
 	seen, err := strconv.ParseUint(r.Header.Get(result.HeaderVersion), 10, 64)
 	return err == nil && seen > uint64(t.Version)
 }
 
-// requestID returns a caller's request id if it is fit for headers and logs,
-// and nothing otherwise.
-func requestID(s string) string {
+// validRequestID returns a caller's request ID if it is safe in headers and logs,
+// and an empty string otherwise.
+func validRequestID(s string) string {
 	if len(s) > maxRequestID {
 		return ""
 	}
@@ -74,10 +75,10 @@
 	return s
 }
 
-// timeLeft returns how long a request may take: the class's deadline, or what
-// the caller's header says if that is shorter. It is false for a malformed
-// header.
-func timeLeft(header string, class time.Duration) (time.Duration, bool) {
+// requestTimeout returns how long a request may take: the shorter of the class's
+// deadline and the caller's header, which is in milliseconds. It returns false
+// for a malformed header.
+func requestTimeout(header string, class time.Duration) (time.Duration, bool) {
 	if header == "" {
 		return class, true
 	}
@@ -88,21 +89,21 @@
 	return min(class, time.Duration(ms)*time.Millisecond), true
 }
 
-// passOn copies the headers that go on to the other side: without those that
-// are for one connection alone, and without the system's own.
-func passOn(dst, src http.Header) {
+// copyEndToEnd copies the end-to-end headers, without hop-by-hop headers and
+// Shallotpier headers.
+func copyEndToEnd(dst, src http.Header) {
 	drop := hopByHop(src)
 	for k, vs := range src {
-		if !drop[k] && !isInternal(k) {
+		if !drop[k] && !isSystemHeader(k) {
 			dst[k] = append([]string(nil), vs...)
 		}
 	}
 }
 
-// isInternal tells whether a header is the system's own, or would be read as
-// one by a server that takes underscores for hyphens.
-func isInternal(k string) bool {
-	return len(k) >= len(internalStart) && strings.ReplaceAll(strings.ToLower(k[:len(internalStart)]), "_", "-") == internalStart
+// isSystemHeader reports whether a header is a Shallotpier header, or would be
+// read as one by a server that treats underscores as hyphens.
+func isSystemHeader(k string) bool {
+	return len(k) >= len(systemPrefix) && strings.ReplaceAll(strings.ToLower(k[:len(systemPrefix)]), "_", "-") == systemPrefix
 }
 
 func hopByHop(h http.Header) map[string]bool {
@@ -120,7 +121,7 @@
 	return drop
 }
 
-// endToEnd names the headers that a Connection header can't remove.
+// endToEnd reports whether a header is kept even if a Connection header lists it.
 func endToEnd(k string) bool {
 	switch k {
 	case "Host", "Content-Length", "Content-Type", "Authorization", "Cookie", "Idempotency-Key":
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,23 +1,23 @@
-// Package entry is the caller-facing side of an entry instance.
+// Package entry is the HTTP handler of an entry instance for callers.
 //
-// A [Handler] answers three kinds of paths:
+// A [Handler] serves three kinds of paths:
 //
-//	GET  /v1/lookup/{service}      which entries to use
-//	POST /v1/ticket/{service}      a ticket for a once-only request
+//	GET  /v1/lookup/{service}      the entries to use
+//	POST /v1/ticket/{service}      a ticket for an at-most-once request
 //	*    /s/{service}/{path...}    a request to the service
 //
-// A request is taken apart once, into a [call], and goes through the same
-// steps: the path and the headers are checked, the class is matched, the
-// fingerprint is checked against the quarantine, a ticket is used if the class
-// is once-only, a permit is asked for, and the request is sent. Each way out
-// has a result code; every answer carries the code and whether the request
-// ran, and every request leaves one log line.
+// Each request is parsed once, into a [call], and passes the same steps: path
+// and headers are validated, the request class is matched, the fingerprint is
+// checked against the quarantine, a ticket is used if the class is
+// at-most-once, a permit is acquired, and the request is sent. Every outcome has
+// a result code; every response carries the code and whether the request ran,
+// and every request writes one log line.
 //
-// A request is read from one immutable [Table] and takes no lock that all
-// requests share. Bodies up to a small bound are read before the request is
-// sent, so that they can be fingerprinted and sent again; longer ones are
-// streamed. The answers to reads are held back up to a small bound, so that an
-// answer that breaks off can still be asked for again.
+// A request reads one immutable [Table] and takes no lock that all requests
+// share. Bodies up to a small limit are buffered before the request is sent, so
+// that they can be fingerprinted and sent again; longer ones are streamed. The
+// responses to reads are buffered up to a small limit before they are forwarded,
+// so that a read whose response is truncated within that limit can be retried.
 //
 // # Usage
 //
--- a/internal/entry/fault_test.go
+++ b/internal/entry/fault_test.go
@@ -19,25 +19,26 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// TestReadsOnSilentConnections silences some of the open connections of every
-// backend server while reads go on.
-func TestReadsOnSilentConnections(t *testing.T) {
+// TestReadsSucceedDespiteSilentConnections makes some or all open connections to
+// every backend server silent between reads: no byte arrives on them any more.
+// The reads must be hedged over other connections.
+func TestReadsSucceedDespiteSilentConnections(t *testing.T) {
 	for _, nth := range []int{1, 2} {
 		t.Run(fmt.Sprint("one in ", nth), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { readOverSilence(t, nth) })
+			synctest.Test(t, func(t *testing.T) { readOverSilentConnections(t, nth) })
 		})
 	}
 }
 
-func readOverSilence(t *testing.T, nth int) {
+func readOverSilentConnections(t *testing.T, nth int) {
 	is := is.New(t)
-	w := newPausedWorld(t, 2, 1)
+	c := newPipeCluster(t, 2, 1)
 	read := func(n int) {
 		var wg sync.WaitGroup
 		for i := range n {
 			wg.Go(func() {
 				id := fmt.Sprint("r", i)
-				got := w.do(w.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, id, result.HeaderDeadline, "2000")
+				got := c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, id, result.HeaderDeadline, "2000")
 				if got.code != result.Served || !strings.HasPrefix(got.body, id+" ") {
 					t.Errorf("%s: code %d, body %q", id, got.code, got.body)
 				}
@@ -45,45 +46,45 @@
 		}
 		wg.Wait()
 	}
-	w.faults(standin.Faults{Slower: time.Millisecond}) // so that reads overlap
-	read(1)                                            // shows that ids are repeated
+	c.faults(standin.Faults{Slower: time.Millisecond}) // so that reads are concurrent
+	read(1)                                            // the server echoes the send ID, so that connections are kept
 	read(12)
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		s.Silence(nth)
 	}
 	started := time.Now()
 	read(12)
 	took := time.Since(started)
-	got := w.do(w.entries[0], "POST", "/s/registry/a", "x") // a connection of its own
+	got := c.do(c.entries[0], "POST", "/s/registry/a", "x") // over a new connection
 	is.Equal(got.code, result.Served)
-	is.NoErr(w.entries[0].Wait(t.Context()))
-	unheard := 0
-	for _, out := range w.outcomes {
+	is.NoErr(c.entries[0].Wait(t.Context()))
+	stillRunning := 0
+	for _, out := range c.outcomes {
 		if !out.Running.IsZero() {
-			unheard++
+			stillRunning++
 		}
 	}
 	if nth == 1 {
-		// With all of them silent, some read is sure to meet one.
+		// With all connections silent, at least one read uses a silent one.
 		is.True(took > 100*time.Millisecond)
-		is.True(unheard > 0) // slots on silent connections stay in use
+		is.True(stillRunning > 0) // the slots of requests on silent connections stay in use
 	}
 }
 
-// TestServersThatAreGone leaves one of three servers, one send, and no budget.
-// A connection that fails is not a send.
-func TestServersThatAreGone(t *testing.T) {
+// TestConnectFailuresAreNotAttempts stops two of three servers and allows one
+// attempt and no retry. A failed connection must not count as an attempt.
+func TestConnectFailuresAreNotAttempts(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newPausedWorld(t, 3, 1)
-				w.file.Retry.Attempts = 1
-				w.entries[0].Budget = never{}
-				w.servers[0].Close()
-				w.servers[1].Close()
+				c := newPipeCluster(t, 3, 1)
+				c.file.Retry.Attempts = 1
+				c.entries[0].Budget = never{}
+				c.servers[0].Close()
+				c.servers[1].Close()
 				for range 5 {
-					got := w.do(w.entries[0], method, "/s/registry/a", "")
+					got := c.do(c.entries[0], method, "/s/registry/a", "")
 					is.Equal(got.code, result.Served)
 				}
 			})
@@ -91,39 +92,41 @@
 	}
 }
 
-// TestSlowCrash has two sends of a read under way when they crash.
-func TestSlowCrash(t *testing.T) {
+// TestHedgedCrashesLeadToQuarantine has two sends of one read in progress when
+// each crashes its server. The request must not crash a third server.
+func TestHedgedCrashesLeadToQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPausedWorld(t, 5, 1)
-		w.faults(standin.Faults{Crash: func(*http.Request) bool {
+		c := newPipeCluster(t, 5, 1)
+		c.faults(standin.Faults{Crash: func(*http.Request) bool {
 			time.Sleep(1100 * time.Millisecond)
 			return true
 		}})
 		for range 4 {
-			w.do(w.entries[0], "GET", "/s/registry/a", "")
+			c.do(c.entries[0], "GET", "/s/registry/a", "")
 		}
-		is.True(w.crashes() <= 2)
+		is.True(c.crashes() <= 2)
 	})
 }
 
-// TestWhatCountsAsCrash sends the same read over and over.
-func TestWhatCountsAsCrash(t *testing.T) {
+// TestCrashDetection repeats a read whose response fails in different ways. Only
+// failures that count as crashes may lead to its quarantine.
+func TestCrashDetection(t *testing.T) {
 	tests := map[string]struct {
 		spoil standin.Answer
 		stop  bool
 		want  bool
 	}{
-		"cut in the middle by a live server": {spoil: standin.Cut},
-		"ended without an answer":            {spoil: standin.Nothing, want: true},
-		"lost in the middle of the answer":   {spoil: standin.Cut, stop: true, want: true},
+		"truncated by a live server":            {spoil: standin.Cut},
+		"closed without a response":             {spoil: standin.Nothing, want: true},
+		"crashed in the middle of the response": {spoil: standin.Cut, stop: true, want: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newPausedWorld(t, 4, 1)
-				for _, s := range w.servers {
+				c := newPipeCluster(t, 4, 1)
+				for _, s := range c.servers {
 					s.SetFaults(standin.Faults{Spoil: func(*http.Request) standin.Answer {
 						if tt.stop {
 							time.AfterFunc(time.Millisecond, func() { s.Close() })
@@ -132,51 +135,54 @@
 					}})
 				}
 				for range 3 {
-					w.do(w.entries[0], "GET", "/s/registry/a", "")
+					c.do(c.entries[0], "GET", "/s/registry/a", "")
 				}
-				got := w.do(w.entries[0], "GET", "/s/registry/a", "")
+				got := c.do(c.entries[0], "GET", "/s/registry/a", "")
 				is.Equal(got.code == result.Quarantined, tt.want)
 			})
 		})
 	}
 }
 
-// TestCrashIsSpreadBeforeTheAnswer lets the news take a while.
-func TestCrashIsSpreadBeforeTheAnswer(t *testing.T) {
+// TestCrashReportPrecedesErrorResponse delays crash reports. A caller that has
+// received the error response must find the request quarantined at another
+// entry.
+func TestCrashReportPrecedesErrorResponse(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newPausedWorld(t, 4, 2)
-				w.slowNews = 200 * time.Millisecond
-				w.faults(standin.Faults{Crash: func(*http.Request) bool { return true }})
-				is.Equal(w.do(w.entries[0], method, "/s/registry/a", "").code, result.AnswerCut)
-				is.Equal(w.do(w.entries[1], method, "/s/registry/a", "").code, result.Quarantined)
+				c := newPipeCluster(t, 4, 2)
+				c.slowReports = 200 * time.Millisecond
+				c.faults(standin.Faults{Crash: func(*http.Request) bool { return true }})
+				is.Equal(c.do(c.entries[0], method, "/s/registry/a", "").code, result.AnswerCut)
+				is.Equal(c.do(c.entries[1], method, "/s/registry/a", "").code, result.Quarantined)
 			})
 		})
 	}
 }
 
-// TestBudgetIsKept leaves nothing to send again.
-func TestBudgetIsKept(t *testing.T) {
+// TestNoRetryWithoutBudget sends reads that fail in ways that allow a retry, with
+// an exhausted retry budget.
+func TestNoRetryWithoutBudget(t *testing.T) {
 	tests := map[string]struct {
 		faults standin.Faults
 		code   result.Code
 	}{
-		"shed":      {faults: standin.Faults{Shed: true}, code: result.ShedByServer},
-		"cut":       {faults: standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Cut }}, code: result.AnswerCut},
-		"no answer": {faults: standin.Faults{Slower: time.Hour}, code: result.AnswerLate},
+		"shed":        {faults: standin.Faults{Shed: true}, code: result.ShedByServer},
+		"truncated":   {faults: standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Cut }}, code: result.AnswerCut},
+		"no response": {faults: standin.Faults{Slower: time.Hour}, code: result.AnswerLate},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newPausedWorld(t, 3, 1)
-				w.entries[0].Budget = never{}
-				w.faults(tt.faults)
-				is.Equal(w.do(w.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r1").code, tt.code)
+				c := newPipeCluster(t, 3, 1)
+				c.entries[0].Budget = never{}
+				c.faults(tt.faults)
+				is.Equal(c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r1").code, tt.code)
 				begun := 0
-				for _, s := range w.servers {
+				for _, s := range c.servers {
 					begun += s.Record().Begun["r1"]
 				}
 				is.Equal(begun, 1)
@@ -185,13 +191,15 @@
 	}
 }
 
-func TestCancellationReachesTheServer(t *testing.T) {
+// TestCallerDisconnectCancelsBackendRequest checks that the server stops running
+// a request whose caller disconnects, and that the slot is not released before.
+func TestCallerDisconnectCancelsBackendRequest(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 1)
+	c := newCluster(t, 1, 1)
 	running := make(chan struct{}, 1)
-	w.faults(standin.Faults{Slower: time.Hour, Crash: func(*http.Request) bool { running <- struct{}{}; return false }})
+	c.faults(standin.Faults{Slower: time.Hour, Crash: func(*http.Request) bool { running <- struct{}{}; return false }})
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, "POST", w.entries[0].http.URL+"/s/registry/a", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, "POST", c.entries[0].http.URL+"/s/registry/a", strings.NewReader("x"))
 	is.NoErr(err)
 	go func() {
 		<-running
@@ -199,19 +207,20 @@
 	}()
 	_, err = (&http.Transport{}).RoundTrip(req)
 	is.True(err != nil)
-	for w.servers[0].Load().Running > 0 {
+	for c.servers[0].Load().Running > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	w.entries[0].http.Close()
-	is.NoErr(w.entries[0].Wait(t.Context()))
-	is.Equal(len(w.outcomes), 1)
-	is.Equal(w.outcomes[0].Code, result.CallerGone)
-	is.Equal(w.early, 0)
+	c.entries[0].http.Close()
+	is.NoErr(c.entries[0].Wait(t.Context()))
+	is.Equal(len(c.outcomes), 1)
+	is.Equal(c.outcomes[0].Code, result.CallerGone)
+	is.Equal(c.early, 0)
 }
 
-// TestRequestShapes sends what is no clean request. None may reach a backend
-// server as more than one request, or past the class that was matched.
-func TestRequestShapes(t *testing.T) {
+// TestMalformedRequests sends malformed and ambiguous requests, as used for
+// request smuggling. None may reach a backend server as more than one request,
+// or with another path than the one whose class was matched.
+func TestMalformedRequests(t *testing.T) {
 	const get = "GET /s/registry/a HTTP/1.1\r\nHost: x\r\n"
 	const post = "POST /s/registry/a HTTP/1.1\r\nHost: x\r\n"
 	const smuggled = "GET /s/registry/smuggled HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -222,7 +231,7 @@
 		"two lengths":          {give: post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab"},
 		"length and chunks":    {give: post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", reach: 1},
 		"signed length":        {give: post + "Content-Length: +1\r\n\r\na"},
-		"odd coding":           {give: post + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"},
+		"unknown coding":       {give: post + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"},
 		"two codings":          {give: post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"},
 		"bad chunk size":       {give: post + "Transfer-Encoding: chunked\r\n\r\n0x1\r\na\r\n0\r\n\r\n"},
 		"space in a name":      {give: get + "Content-Length : 1\r\n\r\na"},
@@ -246,33 +255,33 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := newWorld(t, 1, 1)
+			c := newCluster(t, 1, 1)
 			var mu sync.Mutex
 			var paths []string
-			w.faults(standin.Faults{Spoil: func(r *http.Request) standin.Answer {
+			c.faults(standin.Faults{Spoil: func(r *http.Request) standin.Answer {
 				mu.Lock()
 				defer mu.Unlock()
 				paths = append(paths, r.URL.Path)
 				return standin.Whole
 			}})
-			c, err := net.Dial("tcp", w.entries[0].addr().String())
+			conn, err := net.Dial("tcp", c.entries[0].addr().String())
 			is.NoErr(err)
-			defer c.Close()
-			go func() { _, _ = io.WriteString(c, tt.give) }()
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			defer conn.Close()
+			go func() { _, _ = io.WriteString(conn, tt.give) }()
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err == nil {
 				resp.Body.Close()
 				is.Equal(resp.StatusCode < 300, tt.reach > 0)
 			}
-			c.Close()
-			w.entries[0].http.Close()
+			conn.Close()
+			c.entries[0].http.Close()
 			mu.Lock()
 			defer mu.Unlock()
 			is.True(len(paths) <= tt.reach)
 			for _, p := range paths {
 				is.Equal(p, "/a")
 			}
-			is.True(!strings.Contains(w.log.String(), "\n\n"))
+			is.True(!strings.Contains(c.log.String(), "\n\n"))
 		})
 	}
 }
--- a/internal/entry/flight.go
+++ b/internal/entry/flight.go
@@ -10,128 +10,129 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// flight is one send under way. Its results may be read once done has ended.
-type flight struct {
-	send     string
-	began    time.Time
-	patience time.Duration
-	cancel   context.CancelFunc
-	// admitted ends when permit is set.
+// pendingSend is one send in progress. Its results may be read once done is
+// closed.
+type pendingSend struct {
+	id      string
+	started time.Time
+	timeout time.Duration
+	cancel  context.CancelFunc
+	// admitted is closed when permit is set.
 	admitted chan struct{}
 	done     chan struct{}
 	permit   admission.Permit
-	ans      *backend.Response
+	resp     *backend.Response
 	err      error
 }
 
-// launch starts a send to a server that was not tried.
-func (c *call) launch(tried []id.Server) *flight {
+// startSend starts a send to a server that has not been tried.
+func (c *call) startSend(tried []id.Server) *pendingSend {
 	c.attempts++
-	first := c.attempts == 1 && c.unconnected == 0 && c.h.Budget != nil
-	f := &flight{send: c.h.sendID(), began: time.Now(), patience: c.patience(), admitted: make(chan struct{}), done: make(chan struct{})}
+	first := c.attempts == 1 && c.connectFailures == 0 && c.h.Budget != nil
+	s := &pendingSend{id: c.h.sendID(), started: time.Now(), timeout: c.attemptTimeout(), admitted: make(chan struct{}), done: make(chan struct{})}
 	ctx, cancel := context.WithCancel(c.ctx)
-	f.cancel = cancel
-	req, adm := c.outgoing(), c.admission(tried)
+	s.cancel = cancel
+	req, adm := c.outgoingRequest(), c.admissionRequest(tried)
 	c.h.running.Add(1)
 	go func() {
 		defer c.h.running.Add(-1)
-		defer close(f.done)
-		if f.permit, f.err = c.h.Admitter.Admit(ctx, adm); f.err != nil {
-			f.permit = nil
+		defer close(s.done)
+		if s.permit, s.err = c.h.Admitter.Admit(ctx, adm); s.err != nil {
+			s.permit = nil
 			return
 		}
-		f.began = time.Now()
-		close(f.admitted)
+		s.started = time.Now()
+		close(s.admitted)
 		if first {
-			c.h.Budget.First(f.began, c.file)
+			c.h.Budget.CountFirst(s.started, c.file)
 		}
-		if p, ok := f.permit.(admission.Paced); ok && req.Body != nil {
+		if p, ok := s.permit.(admission.Paced); ok && req.Body != nil {
 			req.Body = &pacedBody{ReadCloser: req.Body, ctx: ctx, permit: p}
 		}
-		f.ans, f.err = c.h.Backend.Send(ctx, &backend.Request{Server: f.permit.Server(), HTTP: req, ID: f.send, ReadStallTimeout: f.patience})
+		s.resp, s.err = c.h.Backend.Send(ctx, &backend.Request{Server: s.permit.Server(), HTTP: req, ID: s.id, ReadStallTimeout: s.timeout})
 	}()
-	return f
+	return s
 }
 
-// race waits for the flight. If it is a read that gets no answer within its
-// patience, its connection may be silent or its server slow: a second flight
-// goes to another server, and the first answer counts. It returns the flight
-// that counts, and the servers that were tried.
-func (c *call) race(first *flight, tried []id.Server) (*flight, []id.Server) {
+// awaitOrHedge waits for the send. A read that gets no response header within its
+// timeout may have a stalled connection or a slow server: it is hedged by a
+// second send to another server, and the first response is used. It returns the
+// send to use and the servers that were tried.
+func (c *call) awaitOrHedge(first *pendingSend, tried []id.Server) (*pendingSend, []id.Server) {
 	select {
 	case <-first.admitted:
 	case <-first.done:
 	}
-	if first.patience > 0 && !endedWithin(first, first.patience) && c.mayResend() {
+	if first.timeout > 0 && !doneWithin(first, first.timeout) && c.takeRetry() {
 		return c.hedge(first, tried)
 	}
 	<-first.done
-	return first, first.server()
+	return first, first.usedServer()
 }
 
-func (c *call) hedge(first *flight, tried []id.Server) (*flight, []id.Server) {
-	used := first.server()
-	second := c.launch(append(append([]id.Server(nil), tried...), used...))
-	won, lost := first, second
+func (c *call) hedge(first *pendingSend, tried []id.Server) (*pendingSend, []id.Server) {
+	used := first.usedServer()
+	second := c.startSend(append(append([]id.Server(nil), tried...), used...))
+	winner, loser := first, second
 	select {
 	case <-first.done:
 	case <-second.done:
-		won, lost = second, first
+		winner, loser = second, first
 	}
-	if won.err != nil {
-		// It failed, so that the other counts.
-		if won.permit != nil {
-			c.settle(nil, won)
+	if winner.err != nil {
+		// The first to end failed; the other one is used.
+		if winner.permit != nil {
+			c.finishSend(nil, winner)
 		} else {
 			c.attempts--
-			won.cancel()
+			winner.cancel()
 		}
-		<-lost.done
-		return lost, append(used, second.server()...)
+		<-loser.done
+		return loser, append(used, second.usedServer()...)
 	}
-	c.abandon(lost)
-	return won, append(used, second.server()...)
+	c.abandon(loser)
+	return winner, append(used, second.usedServer()...)
 }
 
-// abandon ends a flight whose answer is not waited for. Its connection may be
-// silent, so that the kept connections to its server are not trusted any more.
-func (c *call) abandon(f *flight) {
-	f.cancel()
+// abandon cancels a send whose response is no longer awaited. Its connection may
+// have stalled, so that the idle connections to its server are closed as well.
+func (c *call) abandon(s *pendingSend) {
+	s.cancel()
 	c.h.running.Add(1)
 	go func() {
 		defer c.h.running.Add(-1)
-		<-f.done
-		if f.permit == nil {
+		<-s.done
+		if s.permit == nil {
 			return
 		}
-		e := ending{code: result.ConnectionSilent}
-		if f.err == nil {
-			e.latency, e.end = f.ans.Latency, f.ans.Close()
-		} else if e = c.failure(f.err); e.code == result.CallerGone {
-			e.code = result.ConnectionSilent
+		res := sendResult{code: result.ConnectionSilent}
+		if s.err == nil {
+			res.latency, res.pendingClose = s.resp.Latency, s.resp.Close()
+		} else if res = c.sendFailure(s.err); res.code == result.CallerGone {
+			res.code = result.ConnectionSilent
 		}
-		c.h.Backend.CloseIdleTo(f.permit.Server())
-		c.release(f, &e)
+		c.h.Backend.CloseIdleTo(s.permit.Server())
+		c.releasePermit(s, &res)
 	}()
 }
 
-// server returns the name of the flight's server, if it has a permit. It may
-// be called once the flight is admitted or done.
-func (f *flight) server() []id.Server {
+// usedServer returns the name of the server if the send has a permit. It may be
+// called once the send is admitted or done.
+func (s *pendingSend) usedServer() []id.Server {
 	select {
-	case <-f.admitted:
-		return []id.Server{f.permit.Server().Name}
+	case <-s.admitted:
+		return []id.Server{s.permit.Server().Name}
 	default:
 		return nil
 	}
 }
 
-// endedWithin tells whether the flight ended within d.
-func endedWithin(f *flight, d time.Duration) bool {
+// doneWithin reports whether the send ends within d.
+func doneWithin(s *pendingSend, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-f.done:
+	case <-s.done:
 		return true
 	case <-t.C:
 		return false
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -22,7 +22,7 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Paths that a Handler answers.
+// Paths that a Handler serves.
 const (
 	// LookupPath is followed by a service's name.
 	LookupPath = "/v1/lookup/"
@@ -31,11 +31,11 @@
 	// ServicePath is followed by a service's name and the path within it.
 	ServicePath = "/s/"
 
-	waitStep = 20 * time.Millisecond
+	waitInterval = 20 * time.Millisecond
 )
 
 type (
-	// Table is a configuration in force. It must not be changed.
+	// Table is an active configuration. It must not be modified.
 	Table struct {
 		// Version is the configuration's version.
 		Version id.Version
@@ -43,90 +43,92 @@
 		Services map[id.Service]*service.File
 	}
 
-	// Lookup tells which entries a caller should use. It is safe for
+	// Lookup selects the entries that a caller should use. It is safe for
 	// concurrent use.
 	Lookup interface {
-		// Entries returns the entries, the best first, and how long they may
-		// be used.
+		// Entries returns the entries, best first, and how long the caller may
+		// use them.
 		Entries(name id.Service, caller netip.Addr) ([]lookup.Entry, time.Duration)
 	}
 
-	// Budget limits what is sent again. It is safe for concurrent use.
+	// Budget limits retries. It is safe for concurrent use.
 	Budget interface {
-		// First notes the first send of a request.
-		First(now time.Time, file *service.File)
-		// Retry tells whether one more send is within the service's budget,
-		// and spends it if so.
-		Retry(now time.Time, file *service.File) bool
+		// CountFirst counts the first send of a request.
+		CountFirst(now time.Time, file *service.File)
+		// TakeRetry reports whether a retry is within the service's budget, and
+		// if so takes it from the budget.
+		TakeRetry(now time.Time, file *service.File) bool
 	}
 
-	// Spreader tells the other entries about crashes.
-	Spreader interface {
-		// Spread returns once every other entry that can be reached knows, or
+	// CrashReporter sends crash reports to the other entries.
+	CrashReporter interface {
+		// Spread returns once every reachable entry has received the report, or
 		// when ctx ends.
-		Spread(ctx context.Context, news quarantine.Sighting)
+		Spread(ctx context.Context, report quarantine.Sighting)
 	}
 
-	// Handler answers callers. Its fields must not change after the first
+	// Handler serves callers. Its fields must not change after the first
 	// request.
 	Handler struct {
 		// Instance is the entry's name.
 		Instance id.Instance
-		// Incarnation is that of the entry's process.
+		// Incarnation is the incarnation of the entry's process.
 		Incarnation id.Incarnation
 		// Started is when the process started, with a monotonic clock reading.
 		Started time.Time
-		// Table returns the configuration in force, nil if there is none yet.
+		// Table returns the active configuration, nil if there is none yet.
 		Table func() *Table
-		// Leaving tells whether the entry must not begin anything new; nil is
-		// never. Resends of once-only requests still get their outcome.
+		// Leaving reports whether the entry is shutting down and must not
+		// accept new requests; nil means never. Retries of at-most-once
+		// requests still get their outcome.
 		Leaving func() bool
-		// Admitter permits sends.
+		// Admitter issues the permits for sends.
 		Admitter admission.Admitter
-		// Backend sends.
+		// Backend sends requests to backend servers and other entries.
 		Backend *backend.Client
-		// Lookup answers look-ups.
+		// Lookup answers lookups.
 		Lookup Lookup
-		// Once executes once-only requests.
+		// Once issues tickets and keeps the outcomes of at-most-once requests.
 		Once *once.Registry
-		// Entry returns the callers' address of another entry, for handing a
-		// once-only request on; nil hands nothing on.
+		// Entry returns the address of another entry for callers, to which an
+		// at-most-once request is forwarded; nil disables forwarding.
 		Entry func(id.Instance) (netip.AddrPort, bool)
-		// Quarantine keeps crashing requests away.
+		// Quarantine rejects requests that crash backend servers; nil rejects
+		// none.
 		Quarantine *quarantine.List
-		// Spread tells other entries about crashes; nil tells nobody.
-		Spread Spreader
-		// Budget limits what is sent again; nil sends nothing again.
+		// Spread sends crash reports to the other entries; nil sends none.
+		Spread CrashReporter
+		// Budget limits retries; nil disables them.
 		Budget Budget
-		// CallerSilence is how long a caller may send nothing of a body that
-		// it has begun, or take nothing of its answer; 0 is 90 s.
-		CallerSilence time.Duration
-		// Log gets one line for each request.
+		// CallerIdleTimeout is how long a caller may send no byte of its body,
+		// or read no byte of the response; 0 means 90 s.
+		CallerIdleTimeout time.Duration
+		// Log receives one line per request; nil logs nothing.
 		Log *slog.Logger
-		// Metrics gets the histograms.
+		// Metrics receives the counters and histograms; nil keeps none.
 		Metrics *metrics.Set
 
-		sends   atomic.Uint64
-		observe observer
-		running atomic.Int64
+		sends       atomic.Uint64
+		instruments instruments
+		running     atomic.Int64
 	}
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{h: h, w: w, r: r, started: time.Now(), ctx: r.Context(), spreads: new(sync.WaitGroup)}
+	c := &call{h: h, w: w, r: r, started: time.Now(), ctx: r.Context(), broadcasts: new(sync.WaitGroup)}
 	defer c.finish()
-	c.id = requestID(r.Header.Get(result.HeaderRequestID))
+	c.id = validRequestID(r.Header.Get(result.HeaderRequestID))
 	if c.id == "" {
 		c.id = h.sendID()
 	}
 	path := r.URL.Path
 	c.table = h.Table()
 	switch {
-	case !checkRequest(r):
-		c.refuse(result.BadRequest, 0)
-	case c.table == nil, behind(r, c.table):
-		c.refuse(result.NotReady, time.Second)
+	case !isValidRequest(r):
+		c.writeError(result.BadRequest, 0)
+	case c.table == nil, isBehindCaller(r, c.table):
+		c.writeError(result.NotReady, time.Second)
 	case strings.HasPrefix(path, ServicePath):
 		c.request(path[len(ServicePath):])
 	case strings.HasPrefix(path, LookupPath) && r.Method == http.MethodGet:
@@ -134,14 +136,14 @@
 	case strings.HasPrefix(path, TicketPath) && r.Method == http.MethodPost:
 		c.ticket(path[len(TicketPath):])
 	default:
-		c.refuse(result.NoService, 0)
+		c.writeError(result.NoService, 0)
 	}
 }
 
-// Wait returns when no send or execution is under way, those included whose
-// caller has gone, or when ctx ends.
+// Wait returns when no send or execution is in progress, including those whose
+// caller has disconnected, or when ctx ends.
 func (h *Handler) Wait(ctx context.Context) error {
-	t := time.NewTicker(waitStep)
+	t := time.NewTicker(waitInterval)
 	defer t.Stop()
 	for h.running.Load() > 0 {
 		select {
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -19,15 +19,16 @@
 const maxCallerBlocks = 64
 
 type (
-	// observer keeps what requests are measured with.
-	observer struct {
+	// instruments holds the metrics of requests, and the copy buffers.
+	instruments struct {
 		histograms sync.Map // series to *metrics.Histogram
 		counters   sync.Map // result.Code to *metrics.Counter
 		blocks     atomic.Int64
 		buffers    sync.Pool
 	}
 
-	// series names a histogram.
+	// series identifies a histogram: by service and class, or by service and
+	// address block of the caller.
 	series struct {
 		service id.Service
 		class   id.Class
@@ -35,20 +36,21 @@
 	}
 )
 
-// finish measures and logs the request, and ends the caller's connection if
-// a passed-on answer broke off.
+// finish measures and logs the request, and closes the caller's connection if a
+// forwarded response is incomplete.
 func (c *call) finish() {
-	c.body.end()
+	c.body.stop()
 	took := time.Since(c.started)
 	c.measure(took)
 	c.log(took)
-	if c.headed && c.status != 0 && c.cutOff() {
-		abort()
+	if c.headerWritten && c.status != 0 && c.responseIncomplete() {
+		abortConnection()
 	}
 }
 
-// cutOff tells whether an answer of a backend server was begun and not ended.
-func (c *call) cutOff() bool {
+// responseIncomplete reports whether the result code has changed since the header
+// was written, which means that the response of a backend server was truncated.
+func (c *call) responseIncomplete() bool {
 	return c.w.Header().Get(result.HeaderCode) != c.code.String()
 }
 
@@ -57,14 +59,14 @@
 	if set == nil {
 		return
 	}
-	c.h.observe.counter(set, c.code).Inc()
+	c.h.instruments.counter(set, c.code).Inc()
 	if c.class == nil {
 		return
 	}
 	s := series{service: c.file.Service, class: c.class.Name}
-	c.h.observe.histogram(set, s).Update(took.Seconds())
+	c.h.instruments.histogram(set, s).Update(took.Seconds())
 	if block, err := c.caller.Prefix(blockBits(c.caller)); err == nil {
-		c.h.observe.histogram(set, series{service: c.file.Service, block: block}).Update(took.Seconds())
+		c.h.instruments.histogram(set, series{service: c.file.Service, block: block}).Update(took.Seconds())
 	}
 }
 
@@ -75,7 +77,7 @@
 	return 48
 }
 
-func (o *observer) counter(set *metrics.Set, code result.Code) *metrics.Counter {
+func (o *instruments) counter(set *metrics.Set, code result.Code) *metrics.Counter {
 	if v, ok := o.counters.Load(code); ok {
 		if m, ok := v.(*metrics.Counter); ok {
 			return m
@@ -87,9 +89,9 @@
 	return m
 }
 
-// histogram returns the histogram of a series. Blocks of callers past the
-// bound share one.
-func (o *observer) histogram(set *metrics.Set, s series) *metrics.Histogram {
+// histogram returns the histogram of a series. Address blocks of callers beyond
+// maxCallerBlocks share one.
+func (o *instruments) histogram(set *metrics.Set, s series) *metrics.Histogram {
 	if v, ok := o.histograms.Load(s); ok {
 		if m, ok := v.(*metrics.Histogram); ok {
 			return m
@@ -116,17 +118,17 @@
 	attrs := []slog.Attr{
 		slog.String("requestId", c.id), slog.String("service", string(c.serviceName())), slog.String("method", c.r.Method),
 		slog.Int("code", int(c.code)), slog.String("ran", c.code.Ran().String()), slog.Int("status", c.status),
-		slog.Duration("took", took), slog.Int("attempts", c.attempts), slog.Int64("bytesOut", c.out),
+		slog.Duration("took", took), slog.Int("attempts", c.attempts), slog.Int64("bytesOut", c.bytesOut),
 	}
 	if c.class != nil {
 		attrs = append(attrs, slog.String("class", string(c.class.Name)), slog.String("caller", c.caller.String()),
-			slog.Int64("bytesIn", c.body.total()), slog.String("server", string(c.server)), slog.Uint64("version", uint64(c.table.Version)))
+			slog.Int64("bytesIn", c.body.bytesRead()), slog.String("server", string(c.server)), slog.Uint64("version", uint64(c.table.Version)))
 	}
 	c.h.Log.LogAttrs(context.WithoutCancel(c.ctx), slog.LevelInfo, "request", attrs...)
 }
 
-// logEnd logs the outcome of an execution whose caller has gone.
-func (c *call) logEnd() {
+// logExecutionEnd logs the outcome of an execution whose caller has disconnected.
+func (c *call) logExecutionEnd() {
 	if c.h.Log == nil {
 		return
 	}
@@ -135,7 +137,7 @@
 		slog.String("ran", c.code.Ran().String()), slog.String("server", string(c.server)))
 }
 
-// sendID returns an id that no other send of any entry has.
+// sendID returns an ID that is unique among the sends of all entries.
 func (h *Handler) sendID() string {
 	b := make([]byte, 0, 64)
 	b = append(append(b, h.Instance...), '-')
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// headerHandedOn names the entry that handed a once-only request on. A
-	// request that has it is not handed on again.
-	headerHandedOn = "Shallotpier-Handed-On"
+	// headerForwardedBy names the entry that forwarded an at-most-once request.
+	// A request that has it is not forwarded again.
+	headerForwardedBy = "Shallotpier-Handed-On"
 
-	maxOnceAnswer = 8 << 20
+	maxAtMostOnceResponse = 8 << 20
 
-	// entryConnections bounds the connections to another entry.
+	// entryConnections limits the connections to another entry.
 	entryConnections = 1024
 )
 
-// keptAnswer keeps a whole answer in memory.
-type keptAnswer struct {
+// memorySink keeps a complete response in memory.
+type memorySink struct {
 	call   *call
-	answer *once.Answer
+	stored *once.Answer
 }
 
-// once handles a request of a once-only class.
+// once handles a request of an at-most-once class.
 func (c *call) once() {
 	ticket := c.r.Header.Get(result.HeaderTicket)
 	if ticket == "" {
-		c.refuse(result.TicketMissing, 0)
+		c.writeError(result.TicketMissing, 0)
 		return
 	}
-	if code := c.readOnce(); code != 0 {
-		c.refuse(code, 0)
+	if code := c.bufferWholeBody(); code != 0 {
+		c.writeError(code, 0)
 		return
 	}
 	for {
@@ -52,7 +52,7 @@
 		case once.Run:
 			if c.h.leaving() {
 				c.h.Once.End(use, result.EntryLeaving, nil)
-				c.refuse(result.EntryLeaving, 0)
+				c.writeError(result.EntryLeaving, 0)
 				return
 			}
 			c.execute(use)
@@ -61,50 +61,52 @@
 			c.replay(use.Code, use.Answer)
 			return
 		case once.Elsewhere:
-			c.handOn(use.Instance)
+			c.forwardToIssuer(use.Instance)
 			return
 		case once.Running:
-			if !c.await(use.Done) {
+			if !c.awaitOutcome(use.Done) {
 				return
 			}
 		default:
-			c.refuse(use.Code, 0)
+			c.writeError(use.Code, 0)
 			return
 		}
 	}
 }
 
-// await waits for the end of the running execution and tells whether the
-// outcome can be asked for.
-func (c *call) await(done <-chan struct{}) bool {
+// awaitOutcome waits for the end of the running execution and reports whether its
+// outcome is available; if not, it has responded to the caller.
+func (c *call) awaitOutcome(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
 	case <-c.ctx.Done():
-		c.refuse(choose(errors.Is(c.ctx.Err(), context.DeadlineExceeded), result.AnswerLate, result.CallerGone), 0)
+		c.writeError(choose(errors.Is(c.ctx.Err(), context.DeadlineExceeded), result.AnswerLate, result.CallerGone), 0)
 		return false
 	}
 }
 
-// readOnce reads the whole body, announced or not.
-func (c *call) readOnce() result.Code {
-	limit := min(int64(c.class.BodyLimit), maxOnceBody)
+// bufferWholeBody reads the whole body, of known length or not, up to
+// maxAtMostOnceBody.
+func (c *call) bufferWholeBody() result.Code {
+	limit := min(int64(c.class.BodyLimit), maxAtMostOnceBody)
 	if c.r.ContentLength > limit {
 		return result.BodyTooLarge
 	}
-	c.body.left = limit
+	c.body.remaining = limit
 	b, err := io.ReadAll(c.body)
 	if err != nil {
-		return c.bodyCode()
+		return c.bodyErrorCode()
 	}
 	if len(b) > 0 {
-		c.small = b
+		c.bufferedBody = b
 	}
 	c.digest = fmt.Sprintf("%x", sha256.Sum256(b))
 	return 0
 }
 
-// binding tells the request apart from others with the same ticket.
+// binding returns a hash that identifies the request among others with the same
+// ticket.
 func (c *call) binding() once.Binding {
 	h := sha256.New()
 	for _, s := range []string{c.r.Method, c.path, c.r.URL.RawQuery, c.digest} {
@@ -113,49 +115,51 @@
 	return once.Binding(h.Sum(nil))
 }
 
-// execute runs the request to its end even if its caller goes away, so that a
-// resend finds the outcome.
+// execute runs the request to its end even if its caller disconnects, so that a
+// retry of the caller finds the outcome.
 func (c *call) execute(use once.Use) {
 	exec := *c
 	deadline, cancel := context.WithDeadline(context.WithoutCancel(c.ctx), c.deadline)
-	exec.ctx, exec.w = deadline, discard{http.Header{}}
-	kept := &keptAnswer{call: &exec}
-	exec.spreads = new(sync.WaitGroup)
+	exec.ctx, exec.w = deadline, discardWriter{http.Header{}}
+	sink := &memorySink{call: &exec}
+	exec.broadcasts = new(sync.WaitGroup)
 	c.h.running.Add(1)
 	ended := make(chan struct{})
 	go func() {
 		defer c.h.running.Add(-1)
 		defer cancel()
 		defer close(ended)
-		// Without an outcome it is unknown whether the request ran.
+		// If the execution ends without an outcome, it is unknown whether the
+		// request ran.
 		exec.code = result.AnswerCut
-		defer func() { c.h.Once.End(use, exec.code, kept.answer) }()
-		exec.checked(func() { exec.carry(kept) })
+		defer func() { c.h.Once.End(use, exec.code, sink.stored) }()
+		exec.runUnlessQuarantined(func() { exec.sendWithRetries(sink) })
 		if c.ctx.Err() != nil {
-			exec.logEnd()
+			exec.logExecutionEnd()
 		}
 	}()
 	select {
 	case <-ended:
 	case <-c.ctx.Done():
-		<-c.giveTime(ended)
+		<-c.endedOrNow(ended)
 	}
 	select {
 	case <-ended:
 		c.attempts, c.server = exec.attempts, exec.server
-		if kept.answer != nil {
-			c.replay(exec.code, kept.answer)
+		if sink.stored != nil {
+			c.replay(exec.code, sink.stored)
 			return
 		}
-		c.refuse(exec.code, retryAfter(exec.w.Header()))
+		c.writeError(exec.code, retryAfter(exec.w.Header()))
 	default:
-		c.refuse(result.CallerGone, 0)
+		c.writeError(result.CallerGone, 0)
 	}
 }
 
-// giveTime waits a moment longer at the deadline, when the execution ends by
-// itself.
-func (c *call) giveTime(ended <-chan struct{}) <-chan struct{} {
+// endedOrNow returns the channel to wait on once the caller's context has ended:
+// ended if the deadline has passed, since the execution has the same deadline
+// and is about to end; a closed channel if the caller has disconnected.
+func (c *call) endedOrNow(ended <-chan struct{}) <-chan struct{} {
 	if !errors.Is(c.ctx.Err(), context.DeadlineExceeded) {
 		now := make(chan struct{})
 		close(now)
@@ -164,80 +168,81 @@
 	return ended
 }
 
-// replay answers with a kept answer, or says why there is none.
-func (c *call) replay(code result.Code, a *once.Answer) {
-	if a == nil {
-		c.refuse(code, 0)
+// replay responds with a stored response, or with its result code if there is
+// none.
+func (c *call) replay(code result.Code, stored *once.Answer) {
+	if stored == nil {
+		c.writeError(code, 0)
 		return
 	}
-	c.code, c.server = code, a.Server
-	c.head(a.Status, a.Header, int64(len(a.Body)), a.Trailer)
-	if err := c.write(a.Body); err != nil {
-		c.cut(err)
+	c.code, c.server = code, stored.Server
+	c.writeHeader(stored.Status, stored.Header, int64(len(stored.Body)), stored.Trailer)
+	if err := c.write(stored.Body); err != nil {
+		c.recordFailure(err)
 		return
 	}
-	c.trail(a.Trailer)
+	c.setTrailer(stored.Trailer)
 }
 
-// take keeps the whole answer.
-func (k *keptAnswer) take(ans *backend.Response) error {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxOnceAnswer+1))
+// receive stores the complete response.
+func (m *memorySink) receive(resp *backend.Response) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAtMostOnceResponse+1))
 	if err != nil {
 		return err
 	}
-	c := k.call
+	c := m.call
 	c.code = result.Served
-	if len(body) > maxOnceAnswer {
+	if len(body) > maxAtMostOnceResponse {
 		c.code = result.AnswerNotKept
 		return nil
 	}
-	k.answer = &once.Answer{Status: ans.Status, Header: http.Header{}, Trailer: ans.Trailer, Body: body, Server: c.server}
-	passOn(k.answer.Header, ans.Header)
+	m.stored = &once.Answer{Status: resp.Status, Header: http.Header{}, Trailer: resp.Trailer, Body: body, Server: c.server}
+	copyEndToEnd(m.stored.Header, resp.Header)
 	return nil
 }
 
-// handOn sends the request to the entry that minted its ticket.
-func (c *call) handOn(to id.Instance) {
-	if c.h.Entry == nil || c.r.Header.Get(headerHandedOn) != "" {
-		c.refuse(result.TicketElsewhere, 0)
+// forwardToIssuer forwards the request to the entry that issued its ticket.
+func (c *call) forwardToIssuer(to id.Instance) {
+	if c.h.Entry == nil || c.r.Header.Get(headerForwardedBy) != "" {
+		c.writeError(result.TicketElsewhere, 0)
 		return
 	}
 	addr, ok := c.h.Entry(to)
 	if !ok {
-		c.refuse(result.TicketElsewhere, 0)
+		c.writeError(result.TicketElsewhere, 0)
 		return
 	}
-	out := c.outgoing()
+	out := c.outgoingRequest()
 	out.URL.Path, out.URL.RawPath = c.r.URL.Path, c.r.URL.RawPath
 	out.Header.Set(result.HeaderTicket, c.r.Header.Get(result.HeaderTicket))
-	out.Header.Set(headerHandedOn, string(c.h.Instance))
-	ans, err := c.h.Backend.Send(c.ctx, &backend.Request{Server: entryServer(to, addr), HTTP: out, ID: c.h.sendID()})
+	out.Header.Set(headerForwardedBy, string(c.h.Instance))
+	resp, err := c.h.Backend.Send(c.ctx, &backend.Request{Server: entryServer(to, addr), HTTP: out, ID: c.h.sendID()})
 	if err != nil {
-		c.refuse(choose(errors.Is(c.ctx.Err(), context.DeadlineExceeded), result.AnswerLate, result.TicketElsewhere), 0)
+		c.writeError(choose(errors.Is(c.ctx.Err(), context.DeadlineExceeded), result.AnswerLate, result.TicketElsewhere), 0)
 		return
 	}
-	defer ans.Close()
-	c.relay(ans)
+	defer resp.Close()
+	c.relay(resp)
 }
 
-// relay passes another entry's answer on, with its code.
-func (c *call) relay(ans *backend.Response) {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxOnceAnswer))
-	code, ok := parseCode(ans.Header.Get(result.HeaderCode))
+// relay responds with another entry's response and its result code.
+func (c *call) relay(resp *backend.Response) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAtMostOnceResponse))
+	code, ok := parseCode(resp.Header.Get(result.HeaderCode))
 	if err != nil || !ok {
-		c.refuse(result.TicketElsewhere, 0)
+		c.writeError(result.TicketElsewhere, 0)
 		return
 	}
-	c.code, c.server = code, id.Server(ans.Header.Get(result.HeaderServer))
-	c.head(ans.Status, ans.Header, int64(len(body)), ans.Trailer)
+	c.code, c.server = code, id.Server(resp.Header.Get(result.HeaderServer))
+	c.writeHeader(resp.Status, resp.Header, int64(len(body)), resp.Trailer)
 	if err := c.write(body); err != nil {
-		c.cut(err)
+		c.recordFailure(err)
 		return
 	}
-	c.trail(ans.Trailer)
+	c.setTrailer(resp.Trailer)
 }
 
-// entryServer describes another entry as the target of a send.
+// entryServer returns another entry as the destination of a send.
 func entryServer(name id.Instance, addr netip.AddrPort) *service.Server {
 	return &service.Server{Name: id.Server(name), Address: addr, Slots: 1, Connections: entryConnections}
 }
@@ -266,14 +271,15 @@
 	return d
 }
 
-// discard is where an execution without its caller writes to.
-type discard struct{ header http.Header }
+// discardWriter is the http.ResponseWriter of an execution, which may outlive
+// its caller and doesn't write to it.
+type discardWriter struct{ header http.Header }
 
-// Header returns a header that nobody is sent.
-func (d discard) Header() http.Header { return d.header }
+// Header returns a header that is not sent.
+func (d discardWriter) Header() http.Header { return d.header }
 
-// Write drops p.
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
+// Write discards p.
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader does nothing.
-func (d discard) WriteHeader(int) {}
+func (d discardWriter) WriteHeader(int) {}
--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -19,19 +19,21 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// answered is one request of the overload.
-type answered struct {
+// outcome is the result of one request; sent and ended count from the start.
+type outcome struct {
 	sent, ended time.Duration
 	code        result.Code
 }
 
-// TestOverload sends half of the capacity, then three times the capacity for
-// a minute, then half of it again, and never waits for answers.
-func TestOverload(t *testing.T) {
+// TestGoodputUnderOverload offers half of the capacity, then three times the
+// capacity for a minute, then half of it again, as an open-loop load: it does not
+// wait for responses. In each 5 s of the overload the useful responses must reach
+// 0.9 of the capacity, and 5 s after it responses must be fast again.
+func TestGoodputUnderOverload(t *testing.T) {
 	var sends atomic.Int64
 	tests := map[string]standin.Faults{
 		"healthy": {},
-		"every fiftieth answer is cut": {Spoil: func(*http.Request) standin.Answer {
+		"every 50th response is truncated": {Spoil: func(*http.Request) standin.Answer {
 			if sends.Add(1)%50 == 0 {
 				return standin.Cut
 			}
@@ -56,23 +58,23 @@
 		after    = 15 * time.Second
 	)
 	is := is.New(t)
-	w := newPausedWorld(t, servers, 1)
-	w.file.Retry = service.Retry{Attempts: 2, Budget: 0.1}
-	w.file.Classes[2].Deadline = unit.Duration(2 * time.Second)
-	for i := range w.file.Servers {
-		w.file.Servers[i].Slots = 1
+	c := newPipeCluster(t, servers, 1)
+	c.file.Retry = service.Retry{Attempts: 2, Budget: 0.1}
+	c.file.Classes[2].Deadline = unit.Duration(2 * time.Second)
+	for i := range c.file.Servers {
+		c.file.Servers[i].Slots = 1
 	}
 	a := &local.Admitter{Entries: 1}
 	a.Pool.MaxWaiting = 1000
 	a.Pool.Order = func(req *admission.Request) []*service.Server {
 		return []*service.Server{&req.Service.Servers[0], &req.Service.Servers[1]}
 	}
-	a.Configure([]*service.File{w.file})
-	w.entries[0].Admitter, w.entries[0].Budget = a, new(entry.Budgets)
+	a.Configure([]*service.File{c.file})
+	c.entries[0].Admitter, c.entries[0].Budget = a, new(entry.Budgets)
 	faults.Slower = work
-	w.faults(faults)
+	c.faults(faults)
 
-	all := sendAll(w, capacity, before, minute, after)
+	all := sendAll(c, capacity, before, minute, after)
 	const window = 5 * time.Second
 	least := 1.0
 	for from := before; from < before+minute; from += window {
@@ -85,32 +87,32 @@
 		share := float64(useful) / (capacity * window.Seconds())
 		least = min(least, share)
 		if share < 0.9 {
-			t.Errorf("from %s: useful answers are %.2f of the capacity", from, share)
+			t.Errorf("from %s: useful responses are %.2f of the capacity", from, share)
 		}
 	}
-	t.Logf("least share of useful answers in 5 s: %.2f", least)
+	t.Logf("minimum share of useful responses in 5 s: %.2f", least)
 	for _, r := range all {
 		if r.sent >= before+minute+window && (r.code != result.Served || r.ended-r.sent > 3*work) {
 			t.Errorf("sent at %s: code %d after %s", r.sent, r.code, r.ended-r.sent)
 		}
 	}
-	for _, s := range w.servers {
-		is.Equal(s.Record().MaxRunning, 1) // no slot is used twice
+	for _, s := range c.servers {
+		is.Equal(s.Record().MaxRunning, 1) // no slot is used by two requests at once
 	}
 }
 
-func sendAll(w *world, capacity float64, before, minute, after time.Duration) []answered {
+func sendAll(c *cluster, capacity float64, before, minute, after time.Duration) []outcome {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var all []answered
+	var all []outcome
 	started := time.Now()
 	for n := 0; time.Since(started) < before+minute+after; n++ {
 		sent := time.Since(started)
 		wg.Go(func() {
-			got := w.do(w.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r"+string(rune('0'+n%10)))
+			got := c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r"+string(rune('0'+n%10)))
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, answered{sent: sent, ended: time.Since(started), code: got.code})
+			all = append(all, outcome{sent: sent, ended: time.Since(started), code: got.code})
 		})
 		rate := capacity / 2
 		if sent >= before && sent < before+minute {
--- a/internal/entry/setup_test.go
+++ b/internal/entry/setup_test.go
@@ -30,19 +30,20 @@
 )
 
 type (
-	// world is several entries over several backend servers.
-	world struct {
-		t        *testing.T
-		pipes    *pipe.Network // nil is loopback
-		hosts    byte
-		slowNews time.Duration
-		file     *service.File
-		servers  []*standin.Server
-		entries  []*entryServer
-		outcomes []admission.Outcome
-		early    int // slots given back while the server ran the request
-		mu       sync.Mutex
-		log      strings.Builder
+	// cluster is a set of entries and backend servers. slowReports delays crash
+	// reports.
+	cluster struct {
+		t           *testing.T
+		pipes       *pipe.Network // nil means loopback
+		hosts       byte
+		slowReports time.Duration
+		file        *service.File
+		servers     []*standin.Server
+		entries     []*entryServer
+		outcomes    []admission.Outcome
+		early       int // slots released while the server was running the request
+		mu          sync.Mutex
+		log         strings.Builder
 	}
 
 	entryServer struct {
@@ -50,11 +51,11 @@
 		http *httptest.Server
 	}
 
-	// firstFree permits the first server that was not tried.
-	firstFree struct{ w *world }
+	// firstFree permits the first server that has not been tried.
+	firstFree struct{ c *cluster }
 
 	permit struct {
-		w      *world
+		c      *cluster
 		server *service.Server
 	}
 
@@ -77,7 +78,7 @@
 			tried = tried || name == s.Name
 		}
 		if !tried {
-			return &permit{w: a.w, server: s}, nil
+			return &permit{c: a.c, server: s}, nil
 		}
 	}
 	return nil, &admission.RefusedError{Code: result.NoServer, RetryAfter: 2 * time.Second}
@@ -87,87 +88,87 @@
 
 func (p *permit) Release(out admission.Outcome) {
 	running := 0
-	for _, s := range p.w.servers {
+	for _, s := range p.c.servers {
 		if s.Name == p.server.Name {
 			running = s.Load().Running
 		}
 	}
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
+	p.c.mu.Lock()
+	defer p.c.mu.Unlock()
 	if running > 0 && out.Running.IsZero() {
-		p.w.early++
+		p.c.early++
 	}
-	p.w.outcomes = append(p.w.outcomes, out)
+	p.c.outcomes = append(p.c.outcomes, out)
 }
 
-func (always) First(time.Time, *service.File)      {}
-func (always) Retry(time.Time, *service.File) bool { return true }
+func (always) CountFirst(time.Time, *service.File)     {}
+func (always) TakeRetry(time.Time, *service.File) bool { return true }
 
-func (never) First(time.Time, *service.File)      {}
-func (never) Retry(time.Time, *service.File) bool { return false }
+func (never) CountFirst(time.Time, *service.File)     {}
+func (never) TakeRetry(time.Time, *service.File) bool { return false }
 
-// Entries and Spread make a world the Lookup and the Spreader of its entries.
-func (w *world) Entries(id.Service, netip.Addr) ([]lookup.Entry, time.Duration) {
+// Entries and Spread implement Lookup and CrashReporter for the entries.
+func (c *cluster) Entries(id.Service, netip.Addr) ([]lookup.Entry, time.Duration) {
 	var all []lookup.Entry
-	for _, e := range w.entries {
+	for _, e := range c.entries {
 		all = append(all, lookup.Entry{Instance: e.Instance, Address: e.addr(), Weight: 1})
 	}
 	return all, 10 * time.Second
 }
 
-func (w *world) Spread(_ context.Context, news quarantine.Sighting) {
-	time.Sleep(w.slowNews)
-	for _, e := range w.entries {
-		e.Quarantine.Learn(time.Now(), news)
+func (c *cluster) Spread(_ context.Context, report quarantine.Sighting) {
+	time.Sleep(c.slowReports)
+	for _, e := range c.entries {
+		e.Quarantine.Learn(time.Now(), report)
 	}
 }
 
-func (w *world) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.log.Write(p)
+func (c *cluster) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.log.Write(p)
 }
 
 func (e *entryServer) addr() netip.AddrPort {
 	return netip.MustParseAddrPort(e.http.Listener.Addr().String())
 }
 
-func newWorld(t *testing.T, servers, entries int) *world {
-	return build(&world{t: t}, servers, entries)
+func newCluster(t *testing.T, servers, entries int) *cluster {
+	return build(&cluster{t: t}, servers, entries)
 }
 
-// newPausedWorld is for tests in a bubble.
-func newPausedWorld(t *testing.T, servers, entries int) *world {
-	return build(&world{t: t, pipes: new(pipe.Network)}, servers, entries)
+// newPipeCluster connects over in-memory pipes, for tests in a synctest bubble.
+func newPipeCluster(t *testing.T, servers, entries int) *cluster {
+	return build(&cluster{t: t, pipes: new(pipe.Network)}, servers, entries)
 }
 
-func (w *world) listen() net.Listener {
+func (c *cluster) listen() net.Listener {
 	var l net.Listener
 	var err error
-	if w.pipes == nil {
+	if c.pipes == nil {
 		l, err = net.Listen("tcp", "127.0.0.1:0")
 	} else {
-		w.hosts++
-		l, err = w.pipes.Listen(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, w.hosts}), 80))
+		c.hosts++
+		l, err = c.pipes.Listen(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, c.hosts}), 80))
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return l
 }
 
-func (w *world) transport() *http.Transport {
+func (c *cluster) transport() *http.Transport {
 	t := &http.Transport{DisableKeepAlives: true}
-	if w.pipes != nil {
+	if c.pipes != nil {
 		t.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return w.pipes.Dial(ctx, netip.MustParseAddrPort(addr))
+			return c.pipes.Dial(ctx, netip.MustParseAddrPort(addr))
 		}
 	}
 	return t
 }
 
-func build(w *world, servers, entries int) *world {
-	w.file = &service.File{
+func build(c *cluster, servers, entries int) *cluster {
+	c.file = &service.File{
 		Service: "registry", Retry: service.Retry{Attempts: 3, Budget: 1},
 		Classes: []service.Class{
 			{Name: "issue", Kind: service.Once, Methods: []string{"POST"}, PathPrefix: "/certificates", Deadline: unit.Duration(5 * time.Second), BodyLimit: unit.MiB},
@@ -178,72 +179,72 @@
 	}
 	for i := range servers {
 		s := &standin.Server{Name: id.Server("server-" + string(rune('1'+i)))}
-		l := w.listen()
+		l := c.listen()
 		addr := netip.MustParseAddrPort(l.Addr().String())
 		s.Serve(l)
-		w.t.Cleanup(func() { s.Close() })
-		w.servers = append(w.servers, s)
-		w.file.Servers = append(w.file.Servers, service.Server{Name: s.Name, Address: addr, Zone: "fyn-1", Slots: 6, Connections: 400})
+		c.t.Cleanup(func() { s.Close() })
+		c.servers = append(c.servers, s)
+		c.file.Servers = append(c.file.Servers, service.Server{Name: s.Name, Address: addr, Zone: "fyn-1", Slots: 6, Connections: 400})
 	}
 	for i := range entries {
-		w.start(id.Instance("entry-"+string(rune('1'+i))), 1)
+		c.start(id.Instance("entry-"+string(rune('1'+i))), 1)
 	}
-	return w
+	return c
 }
 
-func (w *world) start(name id.Instance, incarnation id.Incarnation) *entryServer {
+func (c *cluster) start(name id.Instance, incarnation id.Incarnation) *entryServer {
 	client := &backend.Client{Entries: 7}
-	if w.pipes != nil {
-		client.Dial = w.pipes.Dial
+	if c.pipes != nil {
+		client.Dial = c.pipes.Dial
 	}
 	h := &entry.Handler{
-		Instance: name, Incarnation: incarnation, Started: time.Now(), Admitter: firstFree{w}, Backend: client, Lookup: w,
+		Instance: name, Incarnation: incarnation, Started: time.Now(), Admitter: firstFree{c}, Backend: client, Lookup: c,
 		Once:       &once.Registry{Instance: name, Incarnation: incarnation, Key: []byte(string(name) + "key")},
-		Quarantine: &quarantine.List{Instance: name}, Spread: w, Budget: always{}, Metrics: metrics.NewSet(),
-		Log: slog.New(slog.NewTextHandler(w, nil)),
+		Quarantine: &quarantine.List{Instance: name}, Spread: c, Budget: always{}, Metrics: metrics.NewSet(),
+		Log: slog.New(slog.NewTextHandler(c, nil)),
 	}
-	table := &entry.Table{Version: 7, Services: map[id.Service]*service.File{"registry": w.file}}
+	table := &entry.Table{Version: 7, Services: map[id.Service]*service.File{"registry": c.file}}
 	h.Table = func() *entry.Table { return table }
 	h.Entry = func(name id.Instance) (netip.AddrPort, bool) {
-		for _, e := range w.entries {
+		for _, e := range c.entries {
 			if e.Instance == name {
 				return e.addr(), true
 			}
 		}
 		return netip.AddrPort{}, false
 	}
-	e := &entryServer{Handler: h, http: &httptest.Server{Listener: w.listen(), Config: &http.Server{Handler: h}}}
+	e := &entryServer{Handler: h, http: &httptest.Server{Listener: c.listen(), Config: &http.Server{Handler: h}}}
 	e.http.Start()
-	w.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		e.http.CloseClientConnections()
 		e.http.Close()
 		h.Backend.CloseIdle()
 	})
-	w.entries = append(w.entries, e)
+	c.entries = append(c.entries, e)
 	return e
 }
 
-func (w *world) do(e *entryServer, method, path, body string, header ...string) reply {
-	w.t.Helper()
+func (c *cluster) do(e *entryServer, method, path, body string, header ...string) reply {
+	c.t.Helper()
 	var r io.Reader
 	if body != "" {
 		r = strings.NewReader(body)
 	}
 	req, err := http.NewRequest(method, e.http.URL+path, r)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	resp, err := w.transport().RoundTrip(req)
+	resp, err := c.transport().RoundTrip(req)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	out := reply{Response: resp, body: string(b), ran: resp.Header.Get(result.HeaderRan)}
 	for _, info := range result.Codes() {
@@ -254,24 +255,24 @@
 	return out
 }
 
-func (w *world) ran(requestID string) int {
+func (c *cluster) ran(requestID string) int {
 	sum := 0
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		sum += s.Record().Ran[requestID]
 	}
 	return sum
 }
 
-func (w *world) crashes() int {
+func (c *cluster) crashes() int {
 	sum := 0
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		sum += s.Record().Crashes
 	}
 	return sum
 }
 
-func (w *world) faults(f standin.Faults) {
-	for _, s := range w.servers {
+func (c *cluster) faults(f standin.Faults) {
+	for _, s := range c.servers {
 		s.SetFaults(f)
 	}
 }
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -21,13 +21,13 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// TestUploadIsStreamed lets the backend server see a request whose caller has
-// not sent it whole.
+// TestUploadIsStreamed checks that a request reaches the backend server before
+// the caller has sent its whole body.
 func TestUploadIsStreamed(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 1)
+	c := newCluster(t, 1, 1)
 	begun := make(chan struct{})
-	w.faults(standin.Faults{Crash: func(*http.Request) bool { close(begun); return false }})
+	c.faults(standin.Faults{Crash: func(*http.Request) bool { close(begun); return false }})
 	body, feed := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(feed, "first")
@@ -35,7 +35,7 @@
 		_, _ = io.WriteString(feed, "last")
 		feed.Close()
 	}()
-	req, err := http.NewRequest("PUT", w.entries[0].http.URL+"/s/registry/bundle", body)
+	req, err := http.NewRequest("PUT", c.entries[0].http.URL+"/s/registry/bundle", body)
 	is.NoErr(err)
 	req.Header.Set(result.HeaderRequestID, "r1")
 	resp, err := (&http.Transport{}).RoundTrip(req)
@@ -46,20 +46,20 @@
 	is.Equal(string(got), "r1 server-1 9\n")
 }
 
-// TestPlannedStopCutsNoUpload stops all entries in turn while each carries an
-// upload over a weak signal.
-func TestPlannedStopCutsNoUpload(t *testing.T) {
+// TestGracefulShutdownFinishesUploads shuts all entries down in turn while each
+// forwards an upload that takes 20 minutes.
+func TestGracefulShutdownFinishesUploads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPausedWorld(t, 1, 3)
+		c := newPipeCluster(t, 1, 3)
 		var wg sync.WaitGroup
-		for i, e := range w.entries {
+		for i, e := range c.entries {
 			wg.Go(func() {
 				id := fmt.Sprint("upload-", i)
-				req, err := http.NewRequest("PUT", e.http.URL+"/s/registry/bundle", io.NopCloser(&weakSignal{left: 60}))
+				req, err := http.NewRequest("PUT", e.http.URL+"/s/registry/bundle", io.NopCloser(&slowUpload{left: 60}))
 				is.NoErr(err)
 				req.Header.Set(result.HeaderRequestID, id)
-				resp, err := w.transport().RoundTrip(req)
+				resp, err := c.transport().RoundTrip(req)
 				is.NoErr(err)
 				defer resp.Body.Close()
 				body, err := io.ReadAll(resp.Body)
@@ -68,7 +68,7 @@
 			})
 		}
 		started := time.Now()
-		for _, e := range w.entries {
+		for _, e := range c.entries {
 			time.Sleep(time.Minute)
 			go func() { _ = e.http.Config.Shutdown(t.Context()) }()
 		}
@@ -77,10 +77,10 @@
 	})
 }
 
-// pacedAdmitter permits bodies at a rate.
+// pacedAdmitter issues permits that limit the rate of request bodies.
 type pacedAdmitter struct {
 	firstFree
-	rate int // in bytes a second
+	rate int // in bytes per second
 }
 
 type pacedPermit struct {
@@ -105,20 +105,21 @@
 func TestUploadIsPaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPausedWorld(t, 1, 1)
-		w.entries[0].Admitter = pacedAdmitter{firstFree: firstFree{w}, rate: 100 << 10}
+		c := newPipeCluster(t, 1, 1)
+		c.entries[0].Admitter = pacedAdmitter{firstFree: firstFree{c}, rate: 100 << 10}
 		started := time.Now()
-		got := w.do(w.entries[0], "PUT", "/s/registry/bundle", strings.Repeat("x", 1<<20))
+		got := c.do(c.entries[0], "PUT", "/s/registry/bundle", strings.Repeat("x", 1<<20))
 		is.Equal(got.code, result.Served)
 		took := time.Since(started)
 		is.True(took > 10*time.Second && took < 11*time.Second)
 	})
 }
 
-// weakSignal sends 1 KiB at a time with pauses of 20 s.
-type weakSignal struct{ left int }
+// slowUpload yields 1 KiB at a time after a pause of 20 s, as over a weak mobile
+// signal.
+type slowUpload struct{ left int }
 
-func (s *weakSignal) Read(p []byte) (int, error) {
+func (s *slowUpload) Read(p []byte) (int, error) {
 	if s.left == 0 {
 		return 0, io.EOF
 	}
@@ -128,31 +129,32 @@
 	return 1024, nil
 }
 
-// TestCallerThatTakesNothing lets a caller stop in the middle of its answer.
-func TestCallerThatTakesNothing(t *testing.T) {
+// TestStalledCallerIsDisconnected has a caller that stops reading in the middle of
+// its response.
+func TestStalledCallerIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newPausedWorld(t, 1, 1)
-		w.file.Classes[2].Deadline = unit.Duration(time.Hour)
-		req, err := http.NewRequest("GET", w.entries[0].http.URL+"/s/registry/a?size=10000000", nil)
+		c := newPipeCluster(t, 1, 1)
+		c.file.Classes[2].Deadline = unit.Duration(time.Hour)
+		req, err := http.NewRequest("GET", c.entries[0].http.URL+"/s/registry/a?size=10000000", nil)
 		is.NoErr(err)
 		started := time.Now()
-		resp, err := w.transport().RoundTrip(req)
+		resp, err := c.transport().RoundTrip(req)
 		is.NoErr(err)
 		defer resp.Body.Close()
 		time.Sleep(2 * time.Minute)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		is.Equal(len(w.outcomes), 1)
-		is.Equal(w.outcomes[0].Code, result.CallerGone)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		is.Equal(len(c.outcomes), 1)
+		is.Equal(c.outcomes[0].Code, result.CallerGone)
 		is.True(time.Since(started) < time.Hour)
 	})
 }
 
-func TestUnannouncedBodyOverItsLimit(t *testing.T) {
+func TestChunkedBodyOverLimitIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, 1)
-	req, err := http.NewRequest("POST", w.entries[0].http.URL+"/s/registry/a", io.LimitReader(zeros{}, 1<<20))
+	c := newCluster(t, 1, 1)
+	req, err := http.NewRequest("POST", c.entries[0].http.URL+"/s/registry/a", io.LimitReader(zeros{}, 1<<20))
 	is.NoErr(err)
 	req.ContentLength = -1
 	req.Header.Set(result.HeaderRequestID, "r1")
@@ -160,7 +162,7 @@
 	is.NoErr(err)
 	defer resp.Body.Close()
 	is.Equal(resp.Header.Get(result.HeaderCode), result.BodyOverLimit.String())
-	is.Equal(w.ran("r1"), 0)
+	is.Equal(c.ran("r1"), 0)
 }
 
 type zeros struct{}
@@ -170,12 +172,12 @@
 	return len(p), nil
 }
 
-// BenchmarkUpload carries 1 GiB through an entry. Caller, entry and backend
-// server share the process, so that heapMiB is an upper bound of what the
-// upload adds to the entry.
+// BenchmarkUpload sends 1 GiB through an entry. Caller, entry and backend server
+// share the process, so that heapMiB is an upper bound of the heap that the
+// upload needs in the entry.
 func BenchmarkUpload(b *testing.B) {
 	const size = 1 << 30
-	w := newWorld(&testing.T{}, 1, 1)
+	c := newCluster(&testing.T{}, 1, 1)
 	b.SetBytes(size)
 	var peak uint64
 	for b.Loop() {
@@ -189,7 +191,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
-		req, _ := http.NewRequest("PUT", w.entries[0].http.URL+"/s/registry/bundle", io.LimitReader(zeros{}, size))
+		req, _ := http.NewRequest("PUT", c.entries[0].http.URL+"/s/registry/bundle", io.LimitReader(zeros{}, size))
 		req.ContentLength = size
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 		if err != nil {
@@ -205,14 +207,14 @@
 	b.ReportMetric(float64(peak)/(1<<20), "heapMiB")
 }
 
-// BenchmarkRead carries small reads.
+// BenchmarkRead sends small reads through an entry.
 func BenchmarkRead(b *testing.B) {
-	w := newWorld(&testing.T{}, 1, 1)
+	c := newCluster(&testing.T{}, 1, 1)
 	client := &http.Transport{MaxIdleConnsPerHost: 100}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			req, _ := http.NewRequest("GET", w.entries[0].http.URL+"/s/registry/a", nil)
+			req, _ := http.NewRequest("GET", c.entries[0].http.URL+"/s/registry/a", nil)
 			resp, err := client.RoundTrip(req)
 			if err != nil {
 				b.Fatal(err)
