--- a/internal/notices/board.go
+++ b/internal/notices/board.go
@@ -16,23 +16,24 @@
 )
 
 type (
-	// Notice says whether a backend server is leaving.
+	// Notice states whether a backend server is leaving.
 	Notice struct {
 		// Service is the server's service.
 		Service id.Service `json:"service"`
 		// Server names the backend server.
 		Server id.Server `json:"server"`
-		// Leaving tells whether it gets no new work.
+		// Leaving reports whether the server gets no new requests.
 		Leaving bool `json:"leaving"`
-		// Since is the author's time of the notice. It is for people alone.
+		// Since is when the notice was made, by the author's clock. It is for
+		// display only.
 		Since time.Time `json:"since"`
-		// Sequence is higher than that of every notice its author had seen.
+		// Sequence is higher than that of every notice its author had received.
 		Sequence uint64 `json:"sequence"`
-		// By is the entry that the operator told.
+		// By is the author: the entry that received the operator's command.
 		By id.Instance `json:"by"`
 	}
 
-	// Key names a backend server.
+	// Key identifies a backend server.
 	Key struct {
 		// Service is the server's service.
 		Service id.Service
@@ -40,22 +41,22 @@
 		Server id.Server
 	}
 
-	// Board holds the latest notice of each backend server. The zero Board is
+	// Board holds the latest notice of each backend server. The zero value is
 	// empty. It is safe for concurrent use; readers take no lock.
 	Board struct {
 		mu      sync.Mutex
-		latest  atomic.Pointer[latest]
+		latest  atomic.Pointer[contents]
 		highest uint64
 	}
 
-	// latest is what a board holds at one time. It is immutable.
-	latest struct {
+	// contents is the immutable state of a Board at one time.
+	contents struct {
 		notices map[Key]Notice
 		digest  uint64
 	}
 )
 
-// Check tells what is wrong with a decoded notice, nil if nothing is.
+// Check returns an error if a decoded notice is invalid.
 func (n *Notice) Check() error {
 	if n.Service == "" || n.Server == "" || n.By == "" || n.Sequence == 0 {
 		return eris.New("a notice needs service, server, author and sequence")
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Leaving tells whether the latest notice says that the server is leaving.
+// Leaving reports whether the server is leaving according to its latest notice.
 func (b *Board) Leaving(service id.Service, server id.Server) bool {
 	n, ok := b.Get(Key{Service: service, Server: server})
 	return ok && n.Leaving
@@ -88,8 +89,8 @@
 	return out
 }
 
-// Digest returns a hash of the latest notices, which doesn't depend on the
-// order in which they came; 0 for an empty board.
+// Digest returns a hash of the latest notices, which doesn't depend on the order
+// in which they were received; 0 if there are none.
 func (b *Board) Digest() uint64 {
 	if p := b.latest.Load(); p != nil {
 		return p.digest
@@ -97,49 +98,50 @@
 	return 0
 }
 
-// Set makes a notice that counts over all notices on the board and returns it.
+// Set adds and returns a notice with a higher sequence number than all notices
+// received so far.
 func (b *Board) Set(k Key, leaving bool, now time.Time, by id.Instance) Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := Notice{Service: k.Service, Server: k.Server, Leaving: leaving, Since: now, Sequence: b.highest + 1, By: by}
-	b.store([]Notice{n})
+	b.add([]Notice{n})
 	return n
 }
 
-// Merge takes in notices of other entries and returns those that were news.
-// Notices that don't check are left out.
+// Merge adds notices of other entries and returns those that were new. Invalid
+// notices are ignored.
 func (b *Board) Merge(notices []Notice) []Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news []Notice
+	var added []Notice
 	latest := b.load()
 	for _, n := range notices {
 		if n.Check() != nil {
 			continue
 		}
-		if old, ok := latest[n.key()]; !ok || n.after(&old) {
-			news = append(news, n)
+		if old, ok := latest[n.key()]; !ok || n.supersedes(&old) {
+			added = append(added, n)
 		}
 	}
-	if len(news) > 0 {
-		b.store(news)
+	if len(added) > 0 {
+		b.add(added)
 	}
-	return news
+	return added
 }
 
-// store replaces the map by a copy that holds the given notices. Later ones of
-// the same server in the list only replace earlier ones that they come after.
-func (b *Board) store(notices []Notice) {
-	old := b.load()
-	next := &latest{notices: make(map[Key]Notice, len(old)+len(notices)), digest: b.Digest()}
-	maps.Copy(next.notices, old)
+// add replaces the map by a copy that contains the given notices. A notice is
+// skipped if the map, or the list before it, has one that supersedes it.
+func (b *Board) add(notices []Notice) {
+	current := b.load()
+	next := &contents{notices: make(map[Key]Notice, len(current)+len(notices)), digest: b.Digest()}
+	maps.Copy(next.notices, current)
 	for _, n := range notices {
-		have, ok := next.notices[n.key()]
-		if ok && !n.after(&have) {
+		old, ok := next.notices[n.key()]
+		if ok && !n.supersedes(&old) {
 			continue
 		}
 		if ok {
-			next.digest -= have.hash()
+			next.digest -= old.hash()
 		}
 		next.digest += n.hash()
 		next.notices[n.key()] = n
@@ -155,13 +157,13 @@
 	return nil
 }
 
-// hash returns a hash of what counts in a notice.
+// hash returns a hash of the fields of a notice, without Since.
 func (n *Notice) hash() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%q %q %q %d %t", n.Service, n.Server, n.By, n.Sequence, n.Leaving))
 }
 
 func (n *Notice) key() Key { return Key{Service: n.Service, Server: n.Server} }
 
-func (n *Notice) after(other *Notice) bool {
+func (n *Notice) supersedes(other *Notice) bool {
 	return cmp.Or(cmp.Compare(n.Sequence, other.Sequence), cmp.Compare(n.By, other.By)) > 0
 }
--- a/internal/notices/doc.go
+++ b/internal/notices/doc.go
@@ -1,25 +1,25 @@
-// Package notices keeps the notices by which operators drain backend servers,
-// and brings them to every entry.
+// Package notices replicates the notices by which operators drain backend
+// servers to every entry.
 //
-// A [Notice] says that a backend server is leaving, or is back. Of two notices
-// for one server the one with the higher sequence number counts, and the
-// author's name decides between equal ones, so that entries that have seen the
-// same notices agree in whatever order they came. A [Board] holds the latest
-// notice of each server.
+// A [Notice] states that a backend server is leaving, or that it is back. Of two
+// notices for one server, the one with the higher sequence number wins, and the
+// author's name decides between equal numbers, so that entries that have
+// received the same notices agree, regardless of their order. A [Board] holds
+// the latest notice of each server.
 //
-// An [Exchange] passes a new notice to every other entry at once, and compares
-// its board with one other entry's every [Exchange.Period], which makes good
-// what was lost. Notices don't need the platform's store to take effect; the
-// author also writes them there, again and again until it works, so that they
-// outlast a restart of all entries.
+// An [Exchange] sends a new notice to every other entry at once, and compares
+// its [Board] with that of one other entry every [Exchange.Period], which repairs
+// lost messages. Notices take effect without the platform's store. The author
+// also writes them to the store, and retries until it succeeds, so that they
+// survive a restart of all entries.
 //
 // # Usage
 //
 //	x := notices.Exchange{Board: &board, Peers: node, Others: live, Store: s}
 //	x.Register(node)
 //	go x.Run(ctx)
-//	x.Post(ctx, "registry", "registry-07", true)
+//	x.Post(ctx, notices.Key{Service: "registry", Server: "registry-07"}, true)
 //	if board.Leaving("registry", "registry-07") {
-//		// no new work
+//		// no new requests
 //	}
 package notices
--- a/internal/notices/exchange.go
+++ b/internal/notices/exchange.go
@@ -17,10 +17,10 @@
 
 // Methods between entries.
 const (
-	// MethodPost carries new notices to an entry.
+	// MethodPost sends new notices to an entry.
 	MethodPost = "notices.post"
-	// MethodCompare carries a board's digest and returns the other's, with its
-	// whole board if they differ.
+	// MethodCompare sends the digest of the notices and returns that of the
+	// receiver, with all its notices if the digests differ.
 	MethodCompare = "notices.compare"
 )
 
@@ -32,83 +32,84 @@
 )
 
 type (
-	// Exchange keeps a Board equal to those of the other entries. Its fields
-	// must not change after Run.
+	// Exchange keeps the notices of this entry in sync with those of the other
+	// entries. Its fields must not change after Run.
 	Exchange struct {
-		// Self is this entry.
+		// Self is the name of this entry.
 		Self id.Instance
-		// Board is kept up to date.
+		// Board holds the notices of this entry.
 		Board *Board
 		// Peers calls other entries.
 		Peers peer.Caller
-		// Others returns the other entries that may be reached.
+		// Others returns the other entries to exchange notices with.
 		Others func() []id.Instance
-		// Store is the platform's store; nil keeps nothing.
+		// Store is the platform's store; nil stores nothing.
 		Store store.Store
 		// Period is the time between comparisons; 0 means 2 s.
 		Period time.Duration
-		// Rand jitters the period and chooses the other entry. It is used by
-		// Run alone.
+		// Rand jitters the period and chooses the entry to compare with. It is
+		// used by Run alone.
 		Rand *rand.Rand
-		// Changed is called after the board changed; nil is not called.
+		// Changed is called after new notices have been added; it may be nil.
 		Changed func()
-		// Log gets a line for each change.
+		// Log receives one line per new notice.
 		Log *slog.Logger
 
 		mu      sync.Mutex
-		unkept  map[Key]Notice
-		learned bool
+		unsaved map[Key]Notice
+		loaded  bool
 	}
 
-	// registrar takes the handlers of methods.
+	// registrar registers the handlers of methods.
 	registrar interface {
 		Register(method string, handler peer.Handler)
 	}
 
 	message struct {
 		Notices []Notice `json:"notices,omitempty"`
-		// Digest is that of the sender's board.
+		// Digest is the digest of the sender's notices.
 		Digest uint64 `json:"digest,omitempty"`
-		// Tell asks the receiver to pass the notices on to these entries.
-		Tell []id.Instance `json:"tell,omitempty"`
+		// ForwardTo lists entries to which the receiver forwards the notices.
+		ForwardTo []id.Instance `json:"tell,omitempty"`
 	}
 )
 
-// Register registers the methods that Exchange answers.
+// Register registers the handlers of MethodPost and MethodCompare.
 func (x *Exchange) Register(r registrar) {
 	r.Register(MethodPost, x.handlePost)
 	r.Register(MethodCompare, x.handleCompare)
 }
 
-// Post makes a notice and passes it to all other entries before it returns, or
-// until ctx ends. Entries that don't confirm it are told by way of others. It
-// returns those that did not confirm it directly.
+// Post makes a notice and sends it to all other entries before it returns, or
+// until ctx ends. It is relayed by other entries to those that don't confirm it.
+// Post returns the entries that did not confirm it directly.
 func (x *Exchange) Post(ctx context.Context, k Key, leaving bool) (Notice, []id.Instance) {
 	n := x.Board.Set(k, leaving, time.Now(), x.Self)
-	x.changed([]Notice{n})
+	x.reportChanges([]Notice{n})
 	x.mu.Lock()
-	if x.unkept == nil {
-		x.unkept = map[Key]Notice{}
+	if x.unsaved == nil {
+		x.unsaved = map[Key]Notice{}
 	}
-	x.unkept[k] = n
+	x.unsaved[k] = n
 	x.mu.Unlock()
-	missed := peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodPost, func(tell []id.Instance) any {
-		return message{Notices: []Notice{n}, Tell: tell}
+	missed := peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodPost, func(forwardTo []id.Instance) any {
+		return message{Notices: []Notice{n}, ForwardTo: forwardTo}
 	})
-	x.keep(ctx)
+	x.save(ctx)
 	return n, missed
 }
 
-// Run compares boards and writes notices to the store until ctx ends.
+// Run compares the notices with those of other entries, and writes notices to the
+// store, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	period := x.Period
 	if period == 0 {
 		period = defaultPeriod
 	}
 	for {
-		x.learn(ctx)
-		x.compare(ctx)
-		x.keep(ctx)
+		x.load(ctx)
+		x.compareWithPeer(ctx)
+		x.save(ctx)
 		wait := period/2 + time.Duration(x.Rand.Int64N(int64(period)))
 		select {
 		case <-ctx.Done():
@@ -118,8 +119,8 @@
 	}
 }
 
-// compare makes this board and that of one other entry equal.
-func (x *Exchange) compare(ctx context.Context) {
+// compareWithPeer synchronises the notices with those of one random entry.
+func (x *Exchange) compareWithPeer(ctx context.Context) {
 	others := x.Others()
 	if len(others) == 0 {
 		return
@@ -129,9 +130,9 @@
 	if err := x.call(ctx, other, MethodCompare, message{Digest: x.Board.Digest()}, &reply); err != nil {
 		return
 	}
-	x.changed(x.Board.Merge(reply.Notices))
+	x.reportChanges(x.Board.Merge(reply.Notices))
 	if x.Board.Digest() != reply.Digest {
-		_ = x.call(ctx, other, MethodPost, message{Notices: x.Board.All()}, nil) // the next comparison makes good a loss
+		_ = x.call(ctx, other, MethodPost, message{Notices: x.Board.All()}, nil) // the next comparison repairs a lost message
 	}
 }
 
@@ -142,18 +143,18 @@
 }
 
 func (x *Exchange) handlePost(ctx context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
-	m, err := x.take(params)
+	m, err := x.apply(params)
 	if err != nil {
 		return nil, err
 	}
-	if len(m.Tell) > 0 {
-		peer.Tell(ctx, x.Peers, callTimeout, m.Tell, MethodPost, message{Notices: m.Notices})
+	if len(m.ForwardTo) > 0 {
+		peer.Tell(ctx, x.Peers, callTimeout, m.ForwardTo, MethodPost, message{Notices: m.Notices})
 	}
 	return message{}, nil
 }
 
 func (x *Exchange) handleCompare(_ context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
-	m, err := x.take(params)
+	m, err := x.apply(params)
 	if err != nil {
 		return nil, err
 	}
@@ -164,8 +165,8 @@
 	return reply, nil
 }
 
-// take decodes a message and takes in its notices.
-func (x *Exchange) take(params json.RawMessage) (*message, error) {
+// apply decodes a message and applies its notices.
+func (x *Exchange) apply(params json.RawMessage) (*message, error) {
 	m := new(message)
 	if err := json.Unmarshal(params, m); err != nil {
 		return nil, eris.Wrap(err, "decode notices")
@@ -173,58 +174,58 @@
 	if len(m.Notices) > maxNotices {
 		return nil, eris.Errorf("%d notices, want at most %d", len(m.Notices), maxNotices)
 	}
-	x.changed(x.Board.Merge(m.Notices))
+	x.reportChanges(x.Board.Merge(m.Notices))
 	return m, nil
 }
 
-// learn reads the kept notices once.
-func (x *Exchange) learn(ctx context.Context) {
-	if x.learned || x.Store == nil {
+// load reads the notices from the store, until it has succeeded once.
+func (x *Exchange) load(ctx context.Context) {
+	if x.loaded || x.Store == nil {
 		return
 	}
 	objects, err := x.Store.List(ctx, keyPrefix)
 	if err != nil {
 		return
 	}
-	x.learned = true
+	x.loaded = true
 	for _, o := range objects {
 		var n Notice
 		if json.Unmarshal(o.Value, &n) == nil {
-			x.changed(x.Board.Merge([]Notice{n}))
+			x.reportChanges(x.Board.Merge([]Notice{n}))
 		}
 	}
 }
 
-// keep writes this entry's own notices that are not in the store yet.
-func (x *Exchange) keep(ctx context.Context) {
+// save writes the notices made by this entry that are not in the store yet.
+func (x *Exchange) save(ctx context.Context) {
 	if x.Store == nil {
 		return
 	}
 	x.mu.Lock()
-	var todo []Notice
-	for _, n := range x.unkept {
-		todo = append(todo, n)
+	var unsaved []Notice
+	for _, n := range x.unsaved {
+		unsaved = append(unsaved, n)
 	}
 	x.mu.Unlock()
-	for _, n := range todo {
-		if x.write(ctx, n) == nil {
+	for _, n := range unsaved {
+		if x.saveNotice(ctx, n) == nil {
 			x.mu.Lock()
-			if x.unkept[n.key()] == n {
-				delete(x.unkept, n.key())
+			if x.unsaved[n.key()] == n {
+				delete(x.unsaved, n.key())
 			}
 			x.mu.Unlock()
 		}
 	}
 }
 
-// write writes a notice over an older one; an ambiguous end is tried again,
-// which is harmless.
-func (x *Exchange) write(ctx context.Context, n Notice) error {
+// saveNotice writes a notice unless the store has one that supersedes it. A write
+// with an unknown outcome is retried, which is idempotent.
+func (x *Exchange) saveNotice(ctx context.Context, n Notice) error {
 	key := keyPrefix + string(n.Service) + "/" + string(n.Server)
 	cond := store.IfAbsent()
 	if old, err := x.Store.Get(ctx, key); err == nil {
-		var have Notice
-		if json.Unmarshal(old.Value, &have) == nil && !n.after(&have) {
+		var stored Notice
+		if json.Unmarshal(old.Value, &stored) == nil && !n.supersedes(&stored) {
 			return nil
 		}
 		cond = store.IfVersion(old.Version)
@@ -237,11 +238,11 @@
 	return err
 }
 
-func (x *Exchange) changed(news []Notice) {
-	for _, n := range news {
+func (x *Exchange) reportChanges(added []Notice) {
+	for _, n := range added {
 		x.Log.Info("notice", "service", n.Service, "server", n.Server, "leaving", n.Leaving, "by", n.By, "sequence", n.Sequence)
 	}
-	if len(news) > 0 && x.Changed != nil {
+	if len(added) > 0 && x.Changed != nil {
 		x.Changed()
 	}
 }
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -20,27 +20,27 @@
 
 var server = notices.Key{Service: "registry", Server: "registry-07"}
 
-type fleet struct {
+type cluster struct {
 	network   peers.Network
 	store     platform.Store
 	period    time.Duration
 	exchanges []*notices.Exchange
 }
 
-func start(ctx context.Context, n int, period time.Duration) *fleet {
-	f := &fleet{period: period}
+func start(ctx context.Context, n int, period time.Duration) *cluster {
+	c := &cluster{period: period}
 	for i := range n {
-		f.add(ctx, i, n)
+		c.add(ctx, i, n)
 	}
-	return f
+	return c
 }
 
-func (f *fleet) add(ctx context.Context, i, n int) *notices.Exchange {
+func (c *cluster) add(ctx context.Context, i, n int) *notices.Exchange {
 	self := name(i)
-	node := f.network.Node(peer.Sender{Instance: self, Incarnation: 1})
+	node := c.network.Node(peer.Sender{Instance: self, Incarnation: 1})
 	x := &notices.Exchange{
-		Self: self, Board: new(notices.Board), Peers: node, Store: &f.store,
-		Period: f.period, Rand: rand.New(rand.NewPCG(1, uint64(i))), Log: slog.New(slog.DiscardHandler),
+		Self: self, Board: new(notices.Board), Peers: node, Store: &c.store,
+		Period: c.period, Rand: rand.New(rand.NewPCG(1, uint64(i))), Log: slog.New(slog.DiscardHandler),
 		Others: func() []id.Instance {
 			var others []id.Instance
 			for j := range n {
@@ -52,13 +52,13 @@
 		},
 	}
 	x.Register(node)
-	f.exchanges = append(f.exchanges, x)
+	c.exchanges = append(c.exchanges, x)
 	go func() { _ = x.Run(ctx) }()
 	return x
 }
 
-func (f *fleet) agree(leaving bool) bool {
-	for _, x := range f.exchanges {
+func (c *cluster) agree(leaving bool) bool {
+	for _, x := range c.exchanges {
 		if x.Board.Leaving(server.Service, server.Server) != leaving {
 			return false
 		}
@@ -68,18 +68,18 @@
 
 func name(i int) id.Instance { return id.Instance(fmt.Sprintf("entry-%d", i)) }
 
-// A backend server gets nothing new within 3 s of the notice, at every entry,
-// with the store down all the time.
+// TestNoticeReachesEveryEntryWithin3Seconds checks that 3 s after the notice, every
+// entry has stopped sending new requests to the server, while the store is down.
 func TestNoticeReachesEveryEntryWithin3Seconds(t *testing.T) {
 	tests := map[string]func(peers.Message) peers.Fate{
-		"all is well": nil,
+		"no fault": nil,
 		"slow network": func(peers.Message) peers.Fate {
 			return peers.Fate{Delay: 400 * time.Millisecond}
 		},
-		"the author's answers are lost": func(m peers.Message) peers.Fate {
+		"responses to the author are lost": func(m peers.Message) peers.Fate {
 			return peers.Fate{AnswerLost: m.From == "entry-0"}
 		},
-		"one entry hears the author no more": func(m peers.Message) peers.Fate {
+		"author can't reach one entry": func(m peers.Message) peers.Fate {
 			return peers.Fate{Lost: m.From == "entry-0" && m.To == "entry-3"}
 		},
 	}
@@ -89,59 +89,63 @@
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				f := start(ctx, 7, time.Hour) // too rare to find anything by comparison
-				f.store.SetFault(platform.Fault{Down: true})
-				f.network.SetHook(hook)
+				c := start(ctx, 7, time.Hour) // rules out that a comparison delivers the notice
+				c.store.SetFault(platform.Fault{Down: true})
+				c.network.SetHook(hook)
 				time.Sleep(10 * time.Second)
 				begun := time.Now()
-				go f.exchanges[0].Post(ctx, server, true)
+				go c.exchanges[0].Post(ctx, server, true)
 				time.Sleep(time.Until(begun.Add(3 * time.Second)))
 				synctest.Wait()
-				is.True(f.agree(true))
+				is.True(c.agree(true))
 			})
 		})
 	}
 }
 
-func TestNoticeOutlastsTheLossOfAllEntries(t *testing.T) {
+// TestNoticeSurvivesLossOfAllEntries replaces all entries after an outage of the
+// store, during which the notice was made.
+func TestNoticeSurvivesLossOfAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		f := start(ctx, 3, 0)
-		f.store.SetFault(platform.Fault{Down: true})
-		f.exchanges[0].Post(ctx, server, true)
+		c := start(ctx, 3, 0)
+		c.store.SetFault(platform.Fault{Down: true})
+		c.exchanges[0].Post(ctx, server, true)
 		time.Sleep(time.Hour)
-		f.store.SetFault(platform.Fault{}) // the author writes it now
+		c.store.SetFault(platform.Fault{}) // the author writes the notice now
 		time.Sleep(10 * time.Second)
 		for i := range 3 {
-			f.network.Remove(name(i))
+			c.network.Remove(name(i))
 		}
-		f.exchanges = nil
-		f.add(ctx, 8, 1)
+		c.exchanges = nil
+		c.add(ctx, 8, 1)
 		time.Sleep(10 * time.Second)
-		is.True(f.agree(true))
+		is.True(c.agree(true))
 	})
 }
 
-func TestLatestNoticeCountsAfterACut(t *testing.T) {
+// TestLatestNoticeWinsAfterPartition makes contradicting notices on both sides of a
+// network partition.
+func TestLatestNoticeWinsAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		f := start(ctx, 4, 0)
+		c := start(ctx, 4, 0)
 		side := func(i id.Instance) bool { return i < "entry-2" }
-		f.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: side(m.From) != side(m.To)} })
-		f.exchanges[0].Post(ctx, server, true)
+		c.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: side(m.From) != side(m.To)} })
+		c.exchanges[0].Post(ctx, server, true)
 		time.Sleep(time.Minute)
-		f.exchanges[1].Post(ctx, server, false)
-		f.exchanges[3].Post(ctx, server, true)
+		c.exchanges[1].Post(ctx, server, false)
+		c.exchanges[3].Post(ctx, server, true)
 		time.Sleep(time.Hour)
-		is.True(f.exchanges[0].Board.Leaving(server.Service, server.Server) == false)
-		is.True(f.exchanges[2].Board.Leaving(server.Service, server.Server))
-		f.network.SetHook(nil)
+		is.True(c.exchanges[0].Board.Leaving(server.Service, server.Server) == false)
+		is.True(c.exchanges[2].Board.Leaving(server.Service, server.Server))
+		c.network.SetHook(nil)
 		time.Sleep(time.Minute)
-		is.True(f.agree(false)) // the author of the second notice had seen the first
+		is.True(c.agree(false)) // the author of the second notice had received the first one
 	})
 }
 
@@ -150,14 +154,14 @@
 		return notices.Notice{Service: "registry", Server: "registry-07", Sequence: sequence, By: by, Leaving: leaving}
 	}
 	tests := map[string]struct {
-		give []notices.Notice
-		want bool
-		news int
+		give  []notices.Notice
+		want  bool
+		added int
 	}{
-		"first":                   {give: []notices.Notice{give(1, "a", true)}, want: true, news: 1},
-		"older after newer":       {give: []notices.Notice{give(2, "a", true), give(1, "a", false)}, want: true, news: 1},
-		"equal: author decides":   {give: []notices.Notice{give(1, "b", true), give(1, "a", false)}, want: true, news: 1},
-		"repeated":                {give: []notices.Notice{give(1, "a", true), give(1, "a", true)}, want: true, news: 1},
+		"first":                   {give: []notices.Notice{give(1, "a", true)}, want: true, added: 1},
+		"older after newer":       {give: []notices.Notice{give(2, "a", true), give(1, "a", false)}, want: true, added: 1},
+		"equal: author decides":   {give: []notices.Notice{give(1, "b", true), give(1, "a", false)}, want: true, added: 1},
+		"repeated":                {give: []notices.Notice{give(1, "a", true), give(1, "a", true)}, want: true, added: 1},
 		"no author":               {give: []notices.Notice{give(1, "", true)}},
 		"sequence 0 is malformed": {give: []notices.Notice{give(0, "a", true)}},
 	}
@@ -165,12 +169,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var b notices.Board
-			news := 0
+			added := 0
 			for _, n := range tt.give {
-				news += len(b.Merge([]notices.Notice{n}))
+				added += len(b.Merge([]notices.Notice{n}))
 			}
 			is.Equal(b.Leaving("registry", "registry-07"), tt.want)
-			is.Equal(news, tt.news)
+			is.Equal(added, tt.added)
 			var other notices.Board
 			other.Merge(tt.give) // all at once
 			is.Equal(other.Leaving("registry", "registry-07"), tt.want)
@@ -178,7 +182,7 @@
 	}
 }
 
-func TestDigestDependsOnWhatCounts(t *testing.T) {
+func TestDigestCoversServerAuthorSequenceAndState(t *testing.T) {
 	is := is.New(t)
 	first := notices.Notice{Service: "registry", Server: "registry-07", Leaving: true, Sequence: 3, By: "entry-1"}
 	other := notices.Notice{Service: "registry", Server: "registry-08", Leaving: true, Sequence: 4, By: "entry-2"}
@@ -190,9 +194,9 @@
 	b.Merge([]notices.Notice{first})
 	is.Equal(a.Digest(), b.Digest())
 	for name, change := range map[string]func(*notices.Notice){
-		"later":     func(n *notices.Notice) { n.Sequence = 9 },
-		"author":    func(n *notices.Notice) { n.By = "entry-9" },
-		"not going": func(n *notices.Notice) { n.Sequence, n.Leaving = 9, false },
+		"later":       func(n *notices.Notice) { n.Sequence = 9 },
+		"author":      func(n *notices.Notice) { n.By = "entry-9" },
+		"not leaving": func(n *notices.Notice) { n.Sequence, n.Leaving = 9, false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -205,22 +209,22 @@
 	}
 }
 
-// Equal boards cost a digest each way; the whole boards go only where they
-// differ.
-func TestComparisonOfEqualBoardsIsSmall(t *testing.T) {
+// TestComparisonOfEqualNoticesIsSmall checks that a comparison transfers only the
+// digests, and not all notices, if both entries have the same ones.
+func TestComparisonOfEqualNoticesIsSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		f := start(ctx, 2, time.Second)
+		c := start(ctx, 2, time.Second)
 		for i := range 500 {
-			f.exchanges[0].Board.Set(notices.Key{Service: "registry", Server: id.Server(fmt.Sprintf("registry-%d", i))}, true, time.Now(), "entry-0")
+			c.exchanges[0].Board.Set(notices.Key{Service: "registry", Server: id.Server(fmt.Sprintf("registry-%d", i))}, true, time.Now(), "entry-0")
 		}
 		time.Sleep(5 * time.Second)
-		is.Equal(f.exchanges[0].Board.Digest(), f.exchanges[1].Board.Digest())
-		is.Equal(len(f.exchanges[1].Board.All()), 500)
-		calls, bytes := f.network.Sent()
+		is.Equal(c.exchanges[0].Board.Digest(), c.exchanges[1].Board.Digest())
+		is.Equal(len(c.exchanges[1].Board.All()), 500)
+		calls, bytes := c.network.Sent()
 		time.Sleep(time.Minute)
-		moreCalls, moreBytes := f.network.Sent()
+		moreCalls, moreBytes := c.network.Sent()
 		is.True(moreCalls > calls)
 		is.True(moreBytes-bytes <= 100*(moreCalls-calls))
 		cancel()
@@ -228,15 +232,17 @@
 	})
 }
 
-func TestComparisonBringsTheAskersNotices(t *testing.T) {
+// TestComparisonAlsoSendsOwnNotices checks that a comparison also transfers the
+// notices of the entry that started it.
+func TestComparisonAlsoSendsOwnNotices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		f := start(ctx, 2, time.Second)
-		f.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: m.From == "entry-1"} })
-		f.exchanges[0].Board.Set(server, true, time.Now(), "entry-0")
+		c := start(ctx, 2, time.Second)
+		c.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: m.From == "entry-1"} })
+		c.exchanges[0].Board.Set(server, true, time.Now(), "entry-0")
 		time.Sleep(5 * time.Second)
-		is.True(f.agree(true))
+		is.True(c.agree(true))
 		cancel()
 		synctest.Wait()
 	})
