--- a/internal/sightings/doc.go
+++ b/internal/sightings/doc.go
@@ -1,11 +1,11 @@
-// Package sightings tells the other entries about requests that crash backend
-// servers, and learns from them.
+// Package sightings exchanges crash reports between entries: reports of requests
+// that crash backend servers.
 //
-// An [Exchange] passes each piece of news to all other entries at once, and by
-// way of those that confirmed it to those that did not. Every
-// [Exchange.Period] it compares its list with one other entry's, so that an
-// entry that was started or cut off meanwhile learns what it missed. Nothing
-// goes through the platform's store.
+// An [Exchange] sends each report to all other entries at once; entries that
+// confirm it relay it to those that don't. Every [Exchange.Period] it compares
+// its list with that of one other entry, so that an entry that was started or
+// unreachable in the meantime receives what it missed. The platform's store is
+// not used.
 //
 // # Usage
 //
--- a/internal/sightings/exchange.go
+++ b/internal/sightings/exchange.go
@@ -15,38 +15,41 @@
 
 // Methods between entries.
 const (
-	// MethodTell brings news.
-	MethodTell = "sightings.tell"
-	// MethodCompare brings news and asks for the other's.
+	// MethodReport sends crash reports to an entry.
+	MethodReport = "sightings.tell"
+	// MethodCompare sends the crash reports of an entry and returns those of the
+	// receiver.
 	MethodCompare = "sightings.compare"
 
 	defaultPeriod = 10 * time.Second
 	callTimeout   = 250 * time.Millisecond
-	maxNews       = 1000
-	maxSend       = 128
+	maxReports    = 1000
+	maxSendID     = 128
 )
 
 type (
-	// Exchange joins the list of one entry to those of the others. Its fields
-	// must not change after the first call. It is safe for concurrent use.
+	// Exchange keeps the list of this entry in sync with those of the other
+	// entries. Its fields must not change after the first call. It is safe for
+	// concurrent use.
 	Exchange struct {
-		// List is this entry's list.
+		// List is the quarantine list of this entry.
 		List *quarantine.List
 		// Peers calls the other entries.
 		Peers peer.Caller
 		// Others returns the other entries.
 		Others func() []id.Instance
-		// Period is the time between two comparisons; 0 is 10 s.
+		// Period is the average time between comparisons; 0 means 10 s.
 		Period time.Duration
-		// Rand chooses whom to compare with. It is used by Run alone.
+		// Rand jitters the period and chooses the entry to compare with. It is
+		// used by Run alone.
 		Rand *rand.Rand
 	}
 
-	// message is what entries send one another.
+	// message is the parameter and the result of both methods.
 	message struct {
-		News []quarantine.Sighting `json:"news"`
-		// Tell lists entries to pass the news on to.
-		Tell []id.Instance `json:"tell,omitempty"`
+		Reports []quarantine.Sighting `json:"news"`
+		// ForwardTo lists entries to which the receiver forwards the reports.
+		ForwardTo []id.Instance `json:"tell,omitempty"`
 	}
 
 	registrar interface {
@@ -54,28 +57,28 @@
 	}
 )
 
-// Register lets the exchange answer the other entries.
+// Register registers the handlers of MethodReport and MethodCompare.
 func (x *Exchange) Register(r registrar) {
-	r.Register(MethodTell, x.tell)
-	r.Register(MethodCompare, x.compare)
+	r.Register(MethodReport, x.handleReport)
+	r.Register(MethodCompare, x.handleCompare)
 }
 
-// Spread brings the news to all other entries. It returns once each of them
+// Spread sends a report to all other entries. It returns once each of them has
 // confirmed it or could not be reached, or when ctx ends.
-func (x *Exchange) Spread(ctx context.Context, news quarantine.Sighting) {
-	peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodTell, func(tell []id.Instance) any {
-		return message{News: []quarantine.Sighting{news}, Tell: tell}
+func (x *Exchange) Spread(ctx context.Context, report quarantine.Sighting) {
+	peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodReport, func(forwardTo []id.Instance) any {
+		return message{Reports: []quarantine.Sighting{report}, ForwardTo: forwardTo}
 	})
 }
 
-// Run compares lists until ctx ends.
+// Run compares the list with those of other entries until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	period := x.Period
 	if period == 0 {
 		period = defaultPeriod
 	}
 	for {
-		x.ask(ctx)
+		x.compareWithPeer(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -84,8 +87,8 @@
 	}
 }
 
-// ask compares the list with that of one other entry.
-func (x *Exchange) ask(ctx context.Context) {
+// compareWithPeer synchronises the list with that of one random entry.
+func (x *Exchange) compareWithPeer(ctx context.Context) {
 	others := x.Others()
 	if len(others) == 0 {
 		return
@@ -94,49 +97,49 @@
 	defer cancel()
 	var reply message
 	other := others[x.Rand.IntN(len(others))]
-	mine := message{News: x.List.News(time.Now(), maxNews)}
-	if err := x.Peers.Call(ctx, other, MethodCompare, mine, &reply); err == nil {
-		x.learn(reply.News)
+	own := message{Reports: x.List.News(time.Now(), maxReports)}
+	if err := x.Peers.Call(ctx, other, MethodCompare, own, &reply); err == nil {
+		x.apply(reply.Reports)
 	}
 }
 
-func (x *Exchange) tell(ctx context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
+func (x *Exchange) handleReport(ctx context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
 	m, err := decode(params)
 	if err != nil {
 		return nil, err
 	}
-	x.learn(m.News)
-	peer.Tell(ctx, x.Peers, callTimeout, m.Tell, MethodTell, message{News: m.News})
+	x.apply(m.Reports)
+	peer.Tell(ctx, x.Peers, callTimeout, m.ForwardTo, MethodReport, message{Reports: m.Reports})
 	return message{}, nil
 }
 
-func (x *Exchange) compare(_ context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
+func (x *Exchange) handleCompare(_ context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
 	m, err := decode(params)
 	if err != nil {
 		return nil, err
 	}
-	x.learn(m.News)
-	return message{News: x.List.News(time.Now(), maxNews)}, nil
+	x.apply(m.Reports)
+	return message{Reports: x.List.News(time.Now(), maxReports)}, nil
 }
 
-func (x *Exchange) learn(all []quarantine.Sighting) {
+func (x *Exchange) apply(reports []quarantine.Sighting) {
 	now := time.Now()
-	for i := range all {
-		x.List.Learn(now, all[i])
+	for i := range reports {
+		x.List.Learn(now, reports[i])
 	}
 }
 
 func decode(params json.RawMessage) (*message, error) {
 	m := new(message)
 	if err := json.Unmarshal(params, m); err != nil {
-		return nil, eris.Wrap(err, "decode sightings")
+		return nil, eris.Wrap(err, "decode crash reports")
 	}
-	if len(m.News) > maxNews || len(m.Tell) > maxNews {
-		return nil, eris.Errorf("message has %d sightings and %d entries, want at most %d", len(m.News), len(m.Tell), maxNews)
+	if len(m.Reports) > maxReports || len(m.ForwardTo) > maxReports {
+		return nil, eris.Errorf("message has %d crash reports and %d entries, want at most %d", len(m.Reports), len(m.ForwardTo), maxReports)
 	}
-	for i := range m.News {
-		if n := &m.News[i]; n.At.IsZero() || n.Instance == "" || !n.Lifted && n.Send == "" || len(n.Send) > maxSend {
-			return nil, eris.Errorf("sighting %d lacks a field", i)
+	for i := range m.Reports {
+		if r := &m.Reports[i]; r.At.IsZero() || r.Instance == "" || !r.Lifted && r.Send == "" || len(r.Send) > maxSendID {
+			return nil, eris.Errorf("crash report %d lacks a required field or has too long a send ID", i)
 		}
 	}
 	return m, nil
--- a/internal/sightings/exchange_test.go
+++ b/internal/sightings/exchange_test.go
@@ -18,7 +18,7 @@
 )
 
 type (
-	// network joins exchanges; links that are cut lose calls.
+	// network connects exchanges; calls over a cut link time out.
 	network struct {
 		handlers map[id.Instance]map[string]peer.Handler
 		cut      map[[2]id.Instance]bool
@@ -61,7 +61,7 @@
 	return json.Unmarshal(raw, result)
 }
 
-func join(n *network, names ...id.Instance) map[id.Instance]*sightings.Exchange {
+func connect(n *network, names ...id.Instance) map[id.Instance]*sightings.Exchange {
 	all := map[id.Instance]*sightings.Exchange{}
 	for i, name := range names {
 		x := &sightings.Exchange{List: &quarantine.List{Instance: name}, Peers: end{n, name}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
@@ -84,22 +84,24 @@
 	return &network{handlers: map[id.Instance]map[string]peer.Handler{}, cut: map[[2]id.Instance]bool{}}
 }
 
+// TestSpread checks that a report reaches an entry that its sender can't reach,
+// relayed by another one.
 func TestSpread(t *testing.T) {
 	tests := map[string]struct {
 		cut  [][2]id.Instance
 		want bool
 	}{
-		"all reachable":    {want: true},
-		"one by a detour":  {cut: [][2]id.Instance{{"a", "c"}}, want: true},
-		"one not at all":   {cut: [][2]id.Instance{{"a", "c"}, {"b", "c"}}},
-		"nobody reachable": {cut: [][2]id.Instance{{"a", "b"}, {"a", "c"}}},
+		"all reachable":   {want: true},
+		"one relayed":     {cut: [][2]id.Instance{{"a", "c"}}, want: true},
+		"one unreachable": {cut: [][2]id.Instance{{"a", "c"}, {"b", "c"}}},
+		"all unreachable": {cut: [][2]id.Instance{{"a", "b"}, {"a", "c"}}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				n := newNetwork()
-				all := join(n, "a", "b", "c")
+				all := connect(n, "a", "b", "c")
 				for _, c := range tt.cut {
 					n.cut[c] = true
 				}
@@ -112,11 +114,13 @@
 	}
 }
 
-func TestComparingMakesGoodWhatWasLost(t *testing.T) {
+// TestComparisonSynchronisesLists checks that a comparison transfers reports and
+// the end of a quarantine to an entry that has received neither.
+func TestComparisonSynchronisesLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork()
-		all := join(n, "a", "b")
+		all := connect(n, "a", "b")
 		fp := quarantine.Fingerprint{1}
 		lifted := quarantine.Fingerprint{2}
 		for _, send := range []string{"s1", "s2"} {
@@ -138,21 +142,22 @@
 		is.Equal(len(a), 1)
 		is.Equal(len(b), 1)
 		is.True(a[0].Until.Equal(b[0].Until))
-		a[0].Until = b[0].Until // equal times need not be the same value
+		a[0].Until = b[0].Until // equal times may differ in their representation
 		is.Equal(a, b)
 	})
 }
 
+// FuzzTell looks for a message that is rejected but has been applied.
 func FuzzTell(f *testing.F) {
 	f.Add(`{"news":[{"fingerprint":"00112233445566778899aabbccddeeff","send":"a","instance":"entry-1","service":"registry","class":"lookup","at":"2026-12-03T22:00:00Z"}]}`)
 	f.Add(`{"news":[{"fingerprint":"00"}]}`)
 	f.Add(`{"tell":["entry-1"],"news":[{"lifted":true}]}`)
 	f.Fuzz(func(t *testing.T, params string) {
 		n := newNetwork()
-		all := join(n, "a")
-		_, err := n.handlers["a"][sightings.MethodTell](t.Context(), peer.Sender{}, json.RawMessage(params))
+		all := connect(n, "a")
+		_, err := n.handlers["a"][sightings.MethodReport](t.Context(), peer.Sender{}, json.RawMessage(params))
 		if err != nil && len(all["a"].List.Entries(time.Now())) > 0 {
-			t.Error("a refused message was learned")
+			t.Error("a rejected message was applied")
 		}
 	})
 }
