--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -10,19 +10,19 @@
 	"github.com/shallotpier/shallotpier/internal/spread"
 )
 
-// row is a computed look-up row as it would be shipped.
+// row is a computed lookup row as it would be replicated.
 type row struct {
 	Block spread.Block  `json:"block" cbor:"1,keyasint"`
 	Sites []spread.Site `json:"sites" cbor:"2,keyasint"`
 }
 
-// BenchmarkShip compares, for one change of a site in an epoch of its own,
-// shipping the change with shipping the rows that follow from it: the bytes
-// on the wire, and the receiver's time to decode and apply.
+// BenchmarkShip compares, for an epoch with one change of a site, replicating the
+// change with replicating the rows that depend on it: the bytes on the wire, and
+// the receiver's time to decode and apply.
 func BenchmarkShip(b *testing.B) {
 	const sites = 2100
 	for _, blocks := range []int{1_000, 10_000, 100_000} {
-		nearest := world(sites, blocks, 7)
+		nearest := randomNearest(sites, blocks, 7)
 		origin := spread.NewReplica(sites, nearest)
 		leave := []spread.Change{{Version: 12_000, Kind: spread.SetLeaving, Site: 42}}
 		origin.Advance(leave)
@@ -92,7 +92,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, blocks := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
-			nearest := world(2100, blocks, 7)
+			nearest := randomNearest(2100, blocks, 7)
 			data, err := cbor.Marshal(nearest)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/spread/doc.go
+++ b/internal/spread/doc.go
@@ -1,21 +1,21 @@
-// Package spread brings changes of steering intent to every entry and finds
-// entries whose state has diverged.
+// Package spread replicates changes of the steering configuration to every entry
+// and detects entries whose state has diverged.
 //
-// What is shipped are the inputs: changes of intent, in numbered epochs with
-// one serial order. Each entry applies an [Epoch] to its [Replica], computes
-// the look-up rows that follow from it, and compares its digest with the one
-// the epoch carries. The digest is a sum over the rows, so that it costs as
-// much as the rows that changed. An entry that misses an epoch or whose digest
-// differs asks for a snapshot. The idea of shipping inputs in a serial order
-// and comparing checksums of the result is taken from "Scalable Replay-Based
+// It replicates the inputs, not the results: changes of the configuration, in
+// numbered epochs with one serial order. Each entry applies an [Epoch] to its
+// [Replica], computes the lookup rows that depend on it, and compares its digest
+// with that of the epoch. The digest is a sum over the rows, so that updating it
+// costs only as much as the rows that changed. An entry that misses an epoch or
+// whose digest differs fetches a snapshot. Replicating inputs in a serial order
+// and comparing checksums of the result follows "Scalable Replay-Based
 // Replication For Fast Databases", sections 4.1 and 4.4;
-// docs/design/spread.md has the measurement behind it.
+// docs/design/spread.md has the measurement behind the choice.
 //
-// Within an availability zone, epochs go down a [Tree] whose shape every
+// Within an availability zone, epochs are forwarded along a [Tree] that every
 // member computes from the same member list; its roots are the zone's relays,
 // which read the platform's store.
 //
-// A Replica is owned by one goroutine.
+// A Replica must be used by one goroutine only.
 //
 // # Usage
 //
@@ -24,6 +24,6 @@
 //		// fetch a snapshot from the parent
 //	}
 //	for _, child := range tree.Children(members, self) {
-//		// pass the epoch on
+//		// forward the epoch
 //	}
 package spread
--- a/internal/spread/epoch.go
+++ b/internal/spread/epoch.go
@@ -10,28 +10,29 @@
 const (
 	// SetWeight sets the weight of a site.
 	SetWeight Kind = "setWeight"
-	// SetLeaving marks a site as leaving, or as back with Weight 1.
+	// SetLeaving marks a site as leaving if Weight is 0, and as available again if
+	// Weight is 1.
 	SetLeaving Kind = "setLeaving"
 	// SetBlock sets the sites of a client block, nearest first.
 	SetBlock Kind = "setBlock"
 )
 
-// MaxWeight is the greatest weight of a site.
+// MaxWeight is the maximum weight of a site.
 const MaxWeight = 1000
 
 // Errors of Apply; compare with errors.Is.
 var (
-	// ErrOld means that the epoch is already applied; nothing was changed.
+	// ErrOld means that the epoch has already been applied; nothing was changed.
 	ErrOld = eris.New("epoch is already applied")
 	// ErrGap means that an earlier epoch is missing; nothing was changed.
 	ErrGap = eris.New("an earlier epoch is missing")
-	// ErrDiverged means that the state after the epoch has another digest than
-	// the epoch's origin has.
+	// ErrDiverged means that the digest after the epoch differs from that of the
+	// epoch's origin.
 	ErrDiverged = eris.New("state diverged from the epoch's origin")
 )
 
 type (
-	// Kind names what a change does.
+	// Kind is the kind of a change.
 	Kind string
 
 	// Site numbers a site of a deployment.
@@ -40,11 +41,11 @@
 	// Block numbers a client block.
 	Block uint32
 
-	// Change is one change of steering intent.
+	// Change is one change of the steering configuration.
 	Change struct {
-		// Version is the configuration version that made it.
+		// Version is the configuration version that contains the change.
 		Version id.Version `json:"version" cbor:"1,keyasint"`
-		// Kind names what it does.
+		// Kind is the kind of the change.
 		Kind Kind `json:"kind" cbor:"2,keyasint"`
 		// Site is the site of a SetWeight or SetLeaving.
 		Site Site `json:"site,omitempty" cbor:"3,keyasint,omitempty"`
@@ -58,7 +59,7 @@
 
 	// Epoch is a batch of changes in their serial order.
 	Epoch struct {
-		// Number counts the epochs from 1 without gaps.
+		// Number is consecutive and starts at 1.
 		Number uint64 `json:"number" cbor:"1,keyasint"`
 		// Changes are applied in this order.
 		Changes []Change `json:"changes" cbor:"2,keyasint"`
@@ -67,8 +68,8 @@
 	}
 )
 
-// Check tells what is wrong with a decoded epoch, nil if nothing is. The
-// limits are the number of sites and blocks of the deployment.
+// Check returns an error if a decoded epoch is invalid. sites and blocks are the
+// numbers of sites and client blocks of the deployment.
 func (e *Epoch) Check(sites, blocks int) error {
 	if e.Number == 0 {
 		return eris.New("epoch has no number")
@@ -97,7 +98,7 @@
 			}
 		}
 	default:
-		return eris.Errorf("kind %q is not known", c.Kind)
+		return eris.Errorf("unknown kind %q", c.Kind)
 	}
 	return nil
 }
--- a/internal/spread/replica.go
+++ b/internal/spread/replica.go
@@ -8,29 +8,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// Replica is one entry's copy of the intent and the look-up rows that follow
-// from it. It is owned by one goroutine.
+// Replica is one entry's copy of the steering configuration and of the lookup rows
+// computed from it. It must be used by one goroutine only.
 type Replica struct {
-	epoch   uint64
-	digest  uint64
-	weights []uint16
-	leaving []bool
-	nearest [][]Site
-	rows    [][]Site
-	using   []map[Block]struct{}
-	changed []Block
-	scratch []byte
+	epoch    uint64
+	digest   uint64
+	weights  []uint16
+	leaving  []bool
+	nearest  [][]Site
+	rows     [][]Site
+	blocksOf []map[Block]struct{}
+	changed  []Block
+	scratch  []byte
 }
 
 // NewReplica returns a replica at epoch 0 with every site at weight 1.
-// nearest lists the sites of each block, nearest first.
+// nearest lists the sites of each client block, nearest first.
 func NewReplica(sites int, nearest [][]Site) *Replica {
 	r := &Replica{
-		weights: make([]uint16, sites),
-		leaving: make([]bool, sites),
-		nearest: make([][]Site, len(nearest)),
-		rows:    make([][]Site, len(nearest)),
-		using:   make([]map[Block]struct{}, sites),
+		weights:  make([]uint16, sites),
+		leaving:  make([]bool, sites),
+		nearest:  make([][]Site, len(nearest)),
+		rows:     make([][]Site, len(nearest)),
+		blocksOf: make([]map[Block]struct{}, sites),
 	}
 	for s := range r.weights {
 		r.weights[s] = 1
@@ -45,21 +45,21 @@
 // Epoch returns the number of the last epoch applied.
 func (r *Replica) Epoch() uint64 { return r.epoch }
 
-// Digest returns the digest of the look-up rows. Replicas with the same rows
+// Digest returns the digest of the lookup rows. Replicas with the same rows
 // have the same digest.
 func (r *Replica) Digest() uint64 { return r.digest }
 
-// Row returns the sites that a block may use, in order; the caller must not
-// change it, and it is valid until the next Apply.
+// Row returns the sites that a block may use, nearest first. The slice must not be
+// modified and is valid until the next Apply.
 func (r *Replica) Row(b Block) []Site { return r.rows[b] }
 
-// Changed returns the blocks whose rows the last Apply computed again. The
-// slice is valid until the next Apply.
+// Changed returns the blocks whose rows the last Apply recomputed. The slice is
+// valid until the next Apply.
 func (r *Replica) Changed() []Block { return r.changed }
 
 // Apply applies the next epoch. It returns ErrOld or ErrGap without changing
-// anything, an error for an epoch that doesn't check, and ErrDiverged, after
-// applying it, if the digests differ.
+// anything, an error for an invalid epoch, and ErrDiverged, after applying it, if
+// the digests differ.
 func (r *Replica) Apply(e *Epoch) error {
 	switch {
 	case e.Number <= r.epoch:
@@ -78,11 +78,11 @@
 }
 
 // Advance applies changes as the next epoch without comparing digests, as the
-// origin of an epoch does. The changes must check.
+// origin of an epoch does. The changes must be valid.
 func (r *Replica) Advance(changes []Change) {
 	r.changed = r.changed[:0]
 	for i := range changes {
-		r.change(&changes[i])
+		r.applyChange(&changes[i])
 	}
 	slices.Sort(r.changed)
 	r.changed = slices.Compact(r.changed)
@@ -92,7 +92,7 @@
 	r.epoch++
 }
 
-func (r *Replica) change(c *Change) {
+func (r *Replica) applyChange(c *Change) {
 	switch c.Kind {
 	case SetBlock:
 		r.setNearest(c.Block, c.Sites)
@@ -103,25 +103,26 @@
 	case SetWeight:
 		r.weights[c.Site] = c.Weight
 	}
-	for b := range r.using[c.Site] {
+	for b := range r.blocksOf[c.Site] {
 		r.changed = append(r.changed, b)
 	}
 }
 
 func (r *Replica) setNearest(b Block, sites []Site) {
 	for _, s := range r.nearest[b] {
-		delete(r.using[s], b)
+		delete(r.blocksOf[s], b)
 	}
 	r.nearest[b] = slices.Clone(sites)
 	for _, s := range sites {
-		if r.using[s] == nil {
-			r.using[s] = map[Block]struct{}{}
+		if r.blocksOf[s] == nil {
+			r.blocksOf[s] = map[Block]struct{}{}
 		}
-		r.using[s][b] = struct{}{}
+		r.blocksOf[s][b] = struct{}{}
 	}
 }
 
-// compute derives the row of a block and brings the digest up to date.
+// compute computes the row of a block and updates the digest. A block whose sites
+// are all unavailable keeps all of them.
 func (r *Replica) compute(b Block) {
 	if r.rows[b] != nil {
 		r.digest -= r.hash(b)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -13,7 +13,8 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func world(sites, blocks int, seed uint64) [][]spread.Site {
+// randomNearest returns three random sites for each client block.
+func randomNearest(sites, blocks int, seed uint64) [][]spread.Site {
 	r := rand.New(rand.NewPCG(seed, 1))
 	nearest := make([][]spread.Site, blocks)
 	for b := range nearest {
@@ -25,7 +26,7 @@
 }
 
 func TestReplicaApply(t *testing.T) {
-	nearest := world(10, 50, 1)
+	nearest := randomNearest(10, 50, 1)
 	origin := spread.NewReplica(10, nearest)
 	first := spread.Epoch{Number: 1, Changes: []spread.Change{{Version: 1, Kind: spread.SetLeaving, Site: 3}}}
 	origin.Advance(first.Changes)
@@ -39,13 +40,13 @@
 	tests := map[string]struct {
 		epochs []spread.Epoch
 		want   error
-		at     uint64
+		epoch  uint64
 	}{
-		"in order":          {epochs: []spread.Epoch{first, second}, at: 2},
-		"repeated":          {epochs: []spread.Epoch{first, first}, want: spread.ErrOld, at: 1},
+		"in order":          {epochs: []spread.Epoch{first, second}, epoch: 2},
+		"repeated":          {epochs: []spread.Epoch{first, first}, want: spread.ErrOld, epoch: 1},
 		"one missing":       {epochs: []spread.Epoch{second}, want: spread.ErrGap},
-		"other digest":      {epochs: []spread.Epoch{wrong}, want: spread.ErrDiverged, at: 1},
-		"older after newer": {epochs: []spread.Epoch{first, second, first}, want: spread.ErrOld, at: 2},
+		"other digest":      {epochs: []spread.Epoch{wrong}, want: spread.ErrDiverged, epoch: 1},
+		"older after newer": {epochs: []spread.Epoch{first, second, first}, want: spread.ErrOld, epoch: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,17 +57,17 @@
 				err = r.Apply(&e)
 			}
 			is.True(errors.Is(err, tt.want))
-			is.Equal(r.Epoch(), tt.at)
+			is.Equal(r.Epoch(), tt.epoch)
 			for b := range nearest {
 				for _, s := range r.Row(spread.Block(b)) {
-					is.True(tt.at == 0 || s != 3 || len(r.Row(spread.Block(b))) == 1) // a leaving site is not offered
+					is.True(tt.epoch == 0 || s != 3 || len(r.Row(spread.Block(b))) == 1) // a leaving site is not in the row
 				}
 			}
 		})
 	}
 }
 
-func TestEpochCheckRefuses(t *testing.T) {
+func TestEpochCheckRejects(t *testing.T) {
 	tests := map[string]spread.Epoch{
 		"no number":         {},
 		"unknown kind":      {Number: 1, Changes: []spread.Change{{Kind: "x"}}},
@@ -82,12 +83,12 @@
 	}
 }
 
-// A digest that is kept up to date must equal one computed anew, whatever the
-// changes were.
-func TestReplicaDigestIsThatOfARebuild(t *testing.T) {
+// TestReplicaDigestEqualsRebuild checks that the digest updated incrementally over
+// random changes equals that of a replica that applies all of them at once.
+func TestReplicaDigestEqualsRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nearest := world(8, 20, 3)
-		kept := spread.NewReplica(8, nearest)
+		nearest := randomNearest(8, 20, 3)
+		incremental := spread.NewReplica(8, nearest)
 		var all []spread.Change
 		for range rapid.IntRange(1, 10).Draw(t, "epochs") {
 			c := spread.Change{
@@ -98,12 +99,12 @@
 				Sites:  []spread.Site{spread.Site(rapid.IntRange(0, 7).Draw(t, "to"))},
 			}
 			all = append(all, c)
-			kept.Advance([]spread.Change{c})
+			incremental.Advance([]spread.Change{c})
 		}
-		once := spread.NewReplica(8, nearest)
-		once.Advance(all)
-		if kept.Digest() != once.Digest() {
-			t.Fatalf("digest %x after single changes, %x after all at once", kept.Digest(), once.Digest())
+		rebuilt := spread.NewReplica(8, nearest)
+		rebuilt.Advance(all)
+		if incremental.Digest() != rebuilt.Digest() {
+			t.Fatalf("digest %x after single changes, %x after all at once", incremental.Digest(), rebuilt.Digest())
 		}
 	})
 }
@@ -137,12 +138,12 @@
 
 func TestTreeDepth(t *testing.T) {
 	tests := map[string]struct{ members, want int }{
-		"relays alone":            {members: 2, want: 0},
-		"today's seven":           {members: 7, want: 1},
-		"a zone at the target":    {members: 165, want: 3},
-		"all of a large region":   {members: 700, want: 3},
-		"one more than two hops":  {members: 147, want: 3},
-		"as many as two hops fit": {members: 146, want: 2},
+		"relays only":                {members: 2, want: 0},
+		"seven entries":              {members: 7, want: 1},
+		"a zone at the target":       {members: 165, want: 3},
+		"all of a large region":      {members: 700, want: 3},
+		"one more than for two hops": {members: 147, want: 3},
+		"maximum for two hops":       {members: 146, want: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/spread/tree.go
+++ b/internal/spread/tree.go
@@ -9,20 +9,20 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Tree is the shape in which epochs are passed on within an availability
-// zone. All members compute it from the same member list; a member that has
-// another list may get an epoch twice or from nobody, which Replica.Apply and
-// the exchange of epoch numbers in heartbeats make good.
+// Tree is the tree along which epochs are forwarded within an availability zone.
+// All members compute it from the same member list. A member with another list
+// may receive an epoch twice or not at all: Replica.Apply rejects the duplicate,
+// and the epoch numbers in heartbeats reveal the gap.
 type Tree struct {
 	// Relays is the number of roots, which read the platform's store.
 	Relays int
-	// Fanout is the greatest number of children of a member.
+	// Fanout is the maximum number of children of a member.
 	Fanout int
 }
 
-// Order returns the members in the order of the tree: the relays first. It
-// sorts by a hash of the name, so that members that join or leave move few
-// others up or down.
+// Order returns the members in the order of the tree, relays first. It sorts by a
+// hash of the name, so that members that join or leave change the level of few
+// others.
 func (t Tree) Order(members []id.Instance) []id.Instance {
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b id.Instance) int {
@@ -31,7 +31,7 @@
 	return out
 }
 
-// Children returns the members that self passes epochs on to. ordered is the
+// Children returns the members to which self forwards epochs. ordered is the
 // result of Order.
 func (t Tree) Children(ordered []id.Instance, self id.Instance) []id.Instance {
 	at := slices.Index(ordered, self)
@@ -45,7 +45,7 @@
 	return ordered[first:min(first+t.Fanout, len(ordered))]
 }
 
-// IsRelay tells whether self reads the platform's store.
+// IsRelay reports whether self reads the platform's store.
 func (t Tree) IsRelay(ordered []id.Instance, self id.Instance) bool {
 	at := slices.Index(ordered, self)
 	return at >= 0 && at < t.relays(len(ordered))
