--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -50,7 +50,7 @@
 		// server; 0 means 1.
 		Entries int
 
-		pools sync.Map // peerKey to *peer
+		pools sync.Map // poolKey to *serverPool
 	}
 
 	// Request is one send.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// slowBody yields up to 1 KiB at a time after a pause, like an upload over a slow
-// mobile connection.
+// slowBody yields up to 1 KiB at a time after a pause, like an upload over a
+// slow mobile connection.
 type slowBody struct {
 	left  int
 	pause time.Duration
--- a/internal/backend/ending.go
+++ b/internal/backend/ending.go
@@ -24,8 +24,8 @@
 )
 
 // Wait waits until the server has closed the connection and returns true, or
-// false if it has not done so within lingerTimeout. A nil PendingClose counts as
-// closed.
+// false if it has not done so within lingerTimeout. A nil PendingClose counts
+// as closed.
 func (p *PendingClose) Wait() bool {
 	if p == nil {
 		return true
--- a/internal/backend/ran_test.go
+++ b/internal/backend/ran_test.go
@@ -118,8 +118,9 @@
 	}
 }
 
-// sendOverCutConn sends one request over a connection that fails as given by at.
-// On a kept connection, bytes are counted from the end of an earlier request.
+// sendOverCutConn sends one request over a connection that fails as given by
+// at. On a kept connection, bytes are counted from the end of an earlier
+// request.
 func sendOverCutConn(t *testing.T, form string, shed, kept bool, at cut) (got sendRecord) {
 	synctest.Test(t, func(t *testing.T) {
 		var n pipe.Network
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -40,8 +40,8 @@
 	permit admission.Paced
 }
 
-// Read reads from the body, and returns once the permit allows all bytes read to
-// be sent.
+// Read reads from the body, and returns once the permit allows all bytes read
+// to be sent.
 func (b *pacedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p[:min(len(p), maxPacedRead)])
 	for left := n; left > 0; {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -169,9 +169,9 @@
 	c.fingerprint = t.Fingerprint()
 }
 
-// outgoingRequest returns the request as it is sent to a backend server: without
-// the service prefix, hop-by-hop headers and the caller's Shallotpier headers,
-// but with the request ID.
+// outgoingRequest returns the request as it is sent to a backend server:
+// without the service prefix, hop-by-hop headers and the caller's Shallotpier
+// headers, but with the request ID.
 func (c *call) outgoingRequest() *http.Request {
 	u := *c.r.URL
 	prefix := ServicePath + string(c.file.Service)
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -38,8 +38,8 @@
 	}
 )
 
-// sendWithRetries sends the request, retries it where that is safe, and responds
-// to the caller.
+// sendWithRetries sends the request, retries it where that is safe, and
+// responds to the caller.
 func (c *call) sendWithRetries(sink responseSink) {
 	var tried []id.Server
 	var last sendResult
@@ -65,8 +65,8 @@
 
 // fail responds that the request failed. If an earlier send may have run the
 // request, the response has the code of that send, never one that means "not
-// run". It first waits for the broadcast of crash reports, so that a caller that
-// retries at another entry finds the request quarantined.
+// run". It first waits for the broadcast of crash reports, so that a caller
+// that retries at another entry finds the request quarantined.
 func (c *call) fail(res *sendResult) {
 	c.broadcasts.Wait()
 	if c.ambiguous != 0 {
@@ -179,10 +179,10 @@
 	return b
 }
 
-// reportOutcome reports a crash or a success to the quarantine and broadcasts the
-// report. A server that closes the connection before it responds counts as
-// crashed; one that closes it in the middle of a response counts as crashed only
-// if it does not accept a new connection.
+// reportOutcome reports a crash or a success to the quarantine and broadcasts
+// the report. A server that closes the connection before it responds counts as
+// crashed; one that closes it in the middle of a response counts as crashed
+// only if it does not accept a new connection.
 func (c *call) reportOutcome(res *sendResult, s *pendingSend) {
 	q := c.h.Quarantine
 	switch {
@@ -210,8 +210,8 @@
 	return o
 }
 
-// broadcast sends a report to the other entries, in the background. A caller gets
-// its error response only after the broadcast has ended.
+// broadcast sends a report to the other entries, in the background. A caller
+// gets its error response only after the broadcast has ended.
 func (c *call) broadcast(report quarantine.Sighting) {
 	if c.h.Spread == nil {
 		return
@@ -248,8 +248,8 @@
 	return c.takeRetry()
 }
 
-// takeRetry reports whether a retry is possible and within the budget, and if so
-// takes it from the budget.
+// takeRetry reports whether a retry is possible and within the budget, and if
+// so takes it from the budget.
 func (c *call) takeRetry() bool {
 	return c.canRetry() && c.h.Budget.TakeRetry(time.Now(), c.file)
 }
@@ -261,10 +261,10 @@
 	return c.bufferedBody != nil || c.r.ContentLength == 0 || c.body.unread()
 }
 
-// attemptTimeout returns how long a read may make no progress before it is hedged
-// or retried: the remaining time divided by the remaining sends. It is 0, which
-// means no limit, for the last send, for requests that are not reads, and if
-// there is no Budget.
+// attemptTimeout returns how long a read may make no progress before it is
+// hedged or retried: the remaining time divided by the remaining sends. It is
+// 0, which means no limit, for the last send, for requests that are not reads,
+// and if there is no Budget.
 func (c *call) attemptTimeout() time.Duration {
 	sends := c.file.Retry.Attempts - c.attempts + 1
 	if !c.class.Kind.Safe() || sends <= 1 || c.h.Budget == nil {
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -24,8 +24,8 @@
 		len(r.Header.Get(result.HeaderKey)) <= maxKey && isValidPath(r.URL.EscapedPath(), r.URL.Path)
 }
 
-// isValidPath rejects paths that a backend server could interpret as another path
-// than the one whose class was matched: empty and dot segments, encoded
+// isValidPath rejects paths that a backend server could interpret as another
+// path than the one whose class was matched: empty and dot segments, encoded
 // slashes, backslashes and control characters.
 func isValidPath(escaped, path string) bool {
 	if len(escaped) > maxPath || !strings.HasPrefix(path, "/") {
@@ -60,8 +60,8 @@
 	return err == nil && seen > uint64(t.Version)
 }
 
-// validRequestID returns a caller's request ID if it is safe in headers and logs,
-// and an empty string otherwise.
+// validRequestID returns a caller's request ID if it is safe in headers and
+// logs, and an empty string otherwise.
 func validRequestID(s string) string {
 	if len(s) > maxRequestID {
 		return ""
@@ -75,9 +75,9 @@
 	return s
 }
 
-// requestTimeout returns how long a request may take: the shorter of the class's
-// deadline and the caller's header, which is in milliseconds. It returns false
-// for a malformed header.
+// requestTimeout returns how long a request may take: the shorter of the
+// class's deadline and the caller's header, which is in milliseconds. It
+// returns false for a malformed header.
 func requestTimeout(header string, class time.Duration) (time.Duration, bool) {
 	if header == "" {
 		return class, true
@@ -121,7 +121,8 @@
 	return drop
 }
 
-// endToEnd reports whether a header is kept even if a Connection header lists it.
+// endToEnd reports whether a header is kept even if a Connection header lists
+// it.
 func endToEnd(k string) bool {
 	switch k {
 	case "Host", "Content-Length", "Content-Type", "Authorization", "Cookie", "Idempotency-Key":
--- a/internal/entry/check_test.go
+++ b/internal/entry/check_test.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// FuzzCallerHeaders looks for system headers that are copied, unsafe request IDs
-// that are accepted, and deadlines out of range.
+// FuzzCallerHeaders looks for system headers that are copied, unsafe request
+// IDs that are accepted, and deadlines out of range.
 func FuzzCallerHeaders(f *testing.F) {
 	f.Add("Shallotpier-Send", "a", "1500")
 	f.Add("Connection", "X-A, Host", "-1")
--- a/internal/entry/fault_test.go
+++ b/internal/entry/fault_test.go
@@ -19,9 +19,9 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// TestReadsSucceedDespiteSilentConnections makes some or all open connections to
-// every backend server silent between reads: no byte arrives on them any more.
-// The reads must be hedged over other connections.
+// TestReadsSucceedDespiteSilentConnections makes some or all open connections
+// to every backend server silent between reads: no byte arrives on them any
+// more. The reads must be hedged over other connections.
 func TestReadsSucceedDespiteSilentConnections(t *testing.T) {
 	for _, nth := range []int{1, 2} {
 		t.Run(fmt.Sprint("one in ", nth), func(t *testing.T) {
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestCrashDetection repeats a read whose response fails in different ways. Only
-// failures that count as crashes may lead to its quarantine.
+// TestCrashDetection repeats a read whose response fails in different ways.
+// Only failures that count as crashes may lead to its quarantine.
 func TestCrashDetection(t *testing.T) {
 	tests := map[string]struct {
 		spoil standin.Answer
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestNoRetryWithoutBudget sends reads that fail in ways that allow a retry, with
-// an exhausted retry budget.
+// TestNoRetryWithoutBudget sends reads that fail in ways that allow a retry,
+// with an exhausted retry budget.
 func TestNoRetryWithoutBudget(t *testing.T) {
 	tests := map[string]struct {
 		faults standin.Faults
@@ -191,8 +191,9 @@
 	}
 }
 
-// TestCallerDisconnectCancelsBackendRequest checks that the server stops running
-// a request whose caller disconnects, and that the slot is not released before.
+// TestCallerDisconnectCancelsBackendRequest checks that the server stops
+// running a request whose caller disconnects, and that the slot is not released
+// before.
 func TestCallerDisconnectCancelsBackendRequest(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
--- a/internal/entry/flight.go
+++ b/internal/entry/flight.go
@@ -54,8 +54,8 @@
 	return s
 }
 
-// awaitOrHedge waits for the send. A read that gets no response header within its
-// timeout may have a stalled connection or a slow server: it is hedged by a
+// awaitOrHedge waits for the send. A read that gets no response header within
+// its timeout may have a stalled connection or a slow server: it is hedged by a
 // second send to another server, and the first response is used. It returns the
 // send to use and the servers that were tried.
 func (c *call) awaitOrHedge(first *pendingSend, tried []id.Server) (*pendingSend, []id.Server) {
@@ -94,8 +94,9 @@
 	return winner, append(used, second.usedServer()...)
 }
 
-// abandon cancels a send whose response is no longer awaited. Its connection may
-// have stalled, so that the idle connections to its server are closed as well.
+// abandon cancels a send whose response is no longer awaited. Its connection
+// may have stalled, so that the idle connections to its server are closed as
+// well.
 func (c *call) abandon(s *pendingSend) {
 	s.cancel()
 	c.h.running.Add(1)
--- a/internal/entry/handler_test.go
+++ b/internal/entry/handler_test.go
@@ -120,8 +120,8 @@
 	is.Equal(resp.Trailer.Get("X-Sum"), "900150983cd2")
 }
 
-// TestRejectedAdmissionIsNoAttempt sends a request while there is no server. The
-// log line must not count an attempt.
+// TestRejectedAdmissionIsNoAttempt sends a request while there is no server.
+// The log line must not count an attempt.
 func TestRejectedAdmissionIsNoAttempt(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 0, 1)
@@ -145,8 +145,8 @@
 	is.Equal(int(a.Version), 7)
 }
 
-// TestReadsSucceedWithOneFaultyServer sends reads while one of two servers fails
-// in different ways.
+// TestReadsSucceedWithOneFaultyServer sends reads while one of two servers
+// fails in different ways.
 func TestReadsSucceedWithOneFaultyServer(t *testing.T) {
 	tests := map[string]standin.Faults{
 		"shed":           {Shed: true},
@@ -178,7 +178,8 @@
 }
 
 // TestSlowReadIsNotCancelled has every server respond within the deadline, but
-// later than the timeout of each attempt. Hedging must not cancel the first one.
+// later than the timeout of each attempt. Hedging must not cancel the first
+// one.
 func TestSlowReadIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -190,7 +191,8 @@
 	})
 }
 
-// TestWritesAreNotRetried sends a write to a server that truncates its response.
+// TestWritesAreNotRetried sends a write to a server that truncates its
+// response.
 func TestWritesAreNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, 1)
@@ -200,8 +202,8 @@
 	is.Equal(got.code, result.AnswerCut)
 }
 
-// TestTruncatedResponseAbortsConnection guards against a truncated response that
-// looks complete to the caller.
+// TestTruncatedResponseAbortsConnection guards against a truncated response
+// that looks complete to the caller.
 func TestTruncatedResponseAbortsConnection(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// responseIncomplete reports whether the result code has changed since the header
-// was written, which means that the response of a backend server was truncated.
+// responseIncomplete reports whether the result code has changed since the
+// header was written, which means that the response of a backend server was
+// truncated.
 func (c *call) responseIncomplete() bool {
 	return c.w.Header().Get(result.HeaderCode) != c.code.String()
 }
@@ -127,7 +128,8 @@
 	c.h.Log.LogAttrs(context.WithoutCancel(c.ctx), slog.LevelInfo, "request", attrs...)
 }
 
-// logExecutionEnd logs the outcome of an execution whose caller has disconnected.
+// logExecutionEnd logs the outcome of an execution whose caller has
+// disconnected.
 func (c *call) logExecutionEnd() {
 	if c.h.Log == nil {
 		return
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// awaitOutcome waits for the end of the running execution and reports whether its
-// outcome is available; if not, it has responded to the caller.
+// awaitOutcome waits for the end of the running execution and reports whether
+// its outcome is available; if not, it has responded to the caller.
 func (c *call) awaitOutcome(done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -156,9 +156,10 @@
 	}
 }
 
-// endedOrNow returns the channel to wait on once the caller's context has ended:
-// ended if the deadline has passed, since the execution has the same deadline
-// and is about to end; a closed channel if the caller has disconnected.
+// endedOrNow returns the channel to wait on once the caller's context has
+// ended: ended if the deadline has passed, since the execution has the same
+// deadline and is about to end; a closed channel if the caller has
+// disconnected.
 func (c *call) endedOrNow(ended <-chan struct{}) <-chan struct{} {
 	if !errors.Is(c.ctx.Err(), context.DeadlineExceeded) {
 		now := make(chan struct{})
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestAtMostOnceAtLeavingEntry checks that an entry that is shutting down replays
-// responses but accepts no new request.
+// TestAtMostOnceAtLeavingEntry checks that an entry that is shutting down
+// replays responses but accepts no new request.
 func TestAtMostOnceAtLeavingEntry(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
@@ -107,8 +107,8 @@
 	is.Equal(c.ran("r1"), 1)
 }
 
-// TestAtMostOnceExecutionOutlivesCaller disconnects the caller while its request
-// runs. The retry must get the response of that execution.
+// TestAtMostOnceExecutionOutlivesCaller disconnects the caller while its
+// request runs. The retry must get the response of that execution.
 func TestAtMostOnceExecutionOutlivesCaller(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -26,9 +26,9 @@
 }
 
 // TestGoodputUnderOverload offers half of the capacity, then three times the
-// capacity for a minute, then half of it again, as an open-loop load: it does not
-// wait for responses. In each 5 s of the overload the useful responses must reach
-// 0.9 of the capacity, and 5 s after it responses must be fast again.
+// capacity for a minute, then half of it again, as an open-loop load: it does
+// not wait for responses. In each 5 s of the overload the useful responses must
+// reach 0.9 of the capacity, and 5 s after it responses must be fast again.
 func TestGoodputUnderOverload(t *testing.T) {
 	var sends atomic.Int64
 	tests := map[string]standin.Faults{
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -115,8 +115,8 @@
 	})
 }
 
-// slowUpload yields 1 KiB at a time after a pause of 20 s, as over a weak mobile
-// signal.
+// slowUpload yields 1 KiB at a time after a pause of 20 s, as over a weak
+// mobile signal.
 type slowUpload struct{ left int }
 
 func (s *slowUpload) Read(p []byte) (int, error) {
@@ -129,8 +129,8 @@
 	return 1024, nil
 }
 
-// TestStalledCallerIsDisconnected has a caller that stops reading in the middle of
-// its response.
+// TestStalledCallerIsDisconnected has a caller that stops reading in the middle
+// of its response.
 func TestStalledCallerIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,9 +172,9 @@
 	return len(p), nil
 }
 
-// BenchmarkUpload sends 1 GiB through an entry. Caller, entry and backend server
-// share the process, so that heapMiB is an upper bound of the heap that the
-// upload needs in the entry.
+// BenchmarkUpload sends 1 GiB through an entry. Caller, entry and backend
+// server share the process, so that heapMiB is an upper bound of the heap that
+// the upload needs in the entry.
 func BenchmarkUpload(b *testing.B) {
 	const size = 1 << 30
 	c := newCluster(&testing.T{}, 1, 1)
--- a/internal/notices/board.go
+++ b/internal/notices/board.go
@@ -89,8 +89,8 @@
 	return out
 }
 
-// Digest returns a hash of the latest notices, which doesn't depend on the order
-// in which they were received; 0 if there are none.
+// Digest returns a hash of the latest notices, which doesn't depend on the
+// order in which they were received; 0 if there are none.
 func (b *Board) Digest() uint64 {
 	if p := b.latest.Load(); p != nil {
 		return p.digest
--- a/internal/notices/doc.go
+++ b/internal/notices/doc.go
@@ -1,17 +1,17 @@
 // Package notices replicates the notices by which operators drain backend
 // servers to every entry.
 //
-// A [Notice] states that a backend server is leaving, or that it is back. Of two
-// notices for one server, the one with the higher sequence number wins, and the
-// author's name decides between equal numbers, so that entries that have
+// A [Notice] states that a backend server is leaving, or that it is back. Of
+// two notices for one server, the one with the higher sequence number wins, and
+// the author's name decides between equal numbers, so that entries that have
 // received the same notices agree, regardless of their order. A [Board] holds
 // the latest notice of each server.
 //
 // An [Exchange] sends a new notice to every other entry at once, and compares
-// its [Board] with that of one other entry every [Exchange.Period], which repairs
-// lost messages. Notices take effect without the platform's store. The author
-// also writes them to the store, and retries until it succeeds, so that they
-// survive a restart of all entries.
+// its [Board] with that of one other entry every [Exchange.Period], which
+// repairs lost messages. Notices take effect without the platform's store. The
+// author also writes them to the store, and retries until it succeeds, so that
+// they survive a restart of all entries.
 //
 // # Usage
 //
--- a/internal/notices/exchange.go
+++ b/internal/notices/exchange.go
@@ -81,8 +81,8 @@
 }
 
 // Post makes a notice and sends it to all other entries before it returns, or
-// until ctx ends. It is relayed by other entries to those that don't confirm it.
-// Post returns the entries that did not confirm it directly.
+// until ctx ends. It is relayed by other entries to those that don't confirm
+// it. Post returns the entries that did not confirm it directly.
 func (x *Exchange) Post(ctx context.Context, k Key, leaving bool) (Notice, []id.Instance) {
 	n := x.Board.Set(k, leaving, time.Now(), x.Self)
 	x.reportChanges([]Notice{n})
@@ -99,8 +99,8 @@
 	return n, missed
 }
 
-// Run compares the notices with those of other entries, and writes notices to the
-// store, until ctx ends.
+// Run compares the notices with those of other entries, and writes notices to
+// the store, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	period := x.Period
 	if period == 0 {
@@ -218,8 +218,8 @@
 	}
 }
 
-// saveNotice writes a notice unless the store has one that supersedes it. A write
-// with an unknown outcome is retried, which is idempotent.
+// saveNotice writes a notice unless the store has one that supersedes it. A
+// write with an unknown outcome is retried, which is idempotent.
 func (x *Exchange) saveNotice(ctx context.Context, n Notice) error {
 	key := keyPrefix + string(n.Service) + "/" + string(n.Server)
 	cond := store.IfAbsent()
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -68,8 +68,9 @@
 
 func name(i int) id.Instance { return id.Instance(fmt.Sprintf("entry-%d", i)) }
 
-// TestNoticeReachesEveryEntryWithin3Seconds checks that 3 s after the notice, every
-// entry has stopped sending new requests to the server, while the store is down.
+// TestNoticeReachesEveryEntryWithin3Seconds checks that 3 s after the notice,
+// every entry has stopped sending new requests to the server, while the store
+// is down.
 func TestNoticeReachesEveryEntryWithin3Seconds(t *testing.T) {
 	tests := map[string]func(peers.Message) peers.Fate{
 		"no fault": nil,
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestNoticeSurvivesLossOfAllEntries replaces all entries after an outage of the
-// store, during which the notice was made.
+// TestNoticeSurvivesLossOfAllEntries replaces all entries after an outage of
+// the store, during which the notice was made.
 func TestNoticeSurvivesLossOfAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -126,8 +127,8 @@
 	})
 }
 
-// TestLatestNoticeWinsAfterPartition makes contradicting notices on both sides of a
-// network partition.
+// TestLatestNoticeWinsAfterPartition makes contradicting notices on both sides
+// of a network partition.
 func TestLatestNoticeWinsAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestComparisonOfEqualNoticesIsSmall checks that a comparison transfers only the
-// digests, and not all notices, if both entries have the same ones.
+// TestComparisonOfEqualNoticesIsSmall checks that a comparison transfers only
+// the digests, and not all notices, if both entries have the same ones.
 func TestComparisonOfEqualNoticesIsSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/sightings/doc.go
+++ b/internal/sightings/doc.go
@@ -1,5 +1,5 @@
-// Package sightings exchanges crash reports between entries: reports of requests
-// that crash backend servers.
+// Package sightings exchanges crash reports between entries: reports of
+// requests that crash backend servers.
 //
 // An [Exchange] sends each report to all other entries at once; entries that
 // confirm it relay it to those that don't. Every [Exchange.Period] it compares
--- a/internal/sightings/exchange_test.go
+++ b/internal/sightings/exchange_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestComparisonSynchronisesLists checks that a comparison transfers reports and
-// the end of a quarantine to an entry that has received neither.
+// TestComparisonSynchronisesLists checks that a comparison transfers reports
+// and the end of a quarantine to an entry that has received neither.
 func TestComparisonSynchronisesLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/spread/bench_test.go
+++ b/internal/spread/bench_test.go
@@ -16,9 +16,9 @@
 	Sites []spread.Site `json:"sites" cbor:"2,keyasint"`
 }
 
-// BenchmarkShip compares, for an epoch with one change of a site, replicating the
-// change with replicating the rows that depend on it: the bytes on the wire, and
-// the receiver's time to decode and apply.
+// BenchmarkShip compares, for an epoch with one change of a site, replicating
+// the change with replicating the rows that depend on it: the bytes on the
+// wire, and the receiver's time to decode and apply.
 func BenchmarkShip(b *testing.B) {
 	const sites = 2100
 	for _, blocks := range []int{1_000, 10_000, 100_000} {
--- a/internal/spread/epoch.go
+++ b/internal/spread/epoch.go
@@ -68,8 +68,8 @@
 	}
 )
 
-// Check returns an error if a decoded epoch is invalid. sites and blocks are the
-// numbers of sites and client blocks of the deployment.
+// Check returns an error if a decoded epoch is invalid. sites and blocks are
+// the numbers of sites and client blocks of the deployment.
 func (e *Epoch) Check(sites, blocks int) error {
 	if e.Number == 0 {
 		return eris.New("epoch has no number")
--- a/internal/spread/replica.go
+++ b/internal/spread/replica.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Replica is one entry's copy of the steering configuration and of the lookup rows
-// computed from it. It must be used by one goroutine only.
+// Replica is one entry's copy of the steering configuration and of the lookup
+// rows computed from it. It must be used by one goroutine only.
 type Replica struct {
 	epoch    uint64
 	digest   uint64
@@ -49,8 +49,8 @@
 // have the same digest.
 func (r *Replica) Digest() uint64 { return r.digest }
 
-// Row returns the sites that a block may use, nearest first. The slice must not be
-// modified and is valid until the next Apply.
+// Row returns the sites that a block may use, nearest first. The slice must not
+// be modified and is valid until the next Apply.
 func (r *Replica) Row(b Block) []Site { return r.rows[b] }
 
 // Changed returns the blocks whose rows the last Apply recomputed. The slice is
@@ -58,8 +58,8 @@
 func (r *Replica) Changed() []Block { return r.changed }
 
 // Apply applies the next epoch. It returns ErrOld or ErrGap without changing
-// anything, an error for an invalid epoch, and ErrDiverged, after applying it, if
-// the digests differ.
+// anything, an error for an invalid epoch, and ErrDiverged, after applying it,
+// if the digests differ.
 func (r *Replica) Apply(e *Epoch) error {
 	switch {
 	case e.Number <= r.epoch:
@@ -121,8 +121,8 @@
 	}
 }
 
-// compute computes the row of a block and updates the digest. A block whose sites
-// are all unavailable keeps all of them.
+// compute computes the row of a block and updates the digest. A block whose
+// sites are all unavailable keeps all of them.
 func (r *Replica) compute(b Block) {
 	if r.rows[b] != nil {
 		r.digest -= r.hash(b)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestReplicaDigestEqualsRebuild checks that the digest updated incrementally over
-// random changes equals that of a replica that applies all of them at once.
+// TestReplicaDigestEqualsRebuild checks that the digest updated incrementally
+// over random changes equals that of a replica that applies all of them at
+// once.
 func TestReplicaDigestEqualsRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nearest := randomNearest(8, 20, 3)
--- a/internal/spread/tree.go
+++ b/internal/spread/tree.go
@@ -9,10 +9,10 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Tree is the tree along which epochs are forwarded within an availability zone.
-// All members compute it from the same member list. A member with another list
-// may receive an epoch twice or not at all: Replica.Apply rejects the duplicate,
-// and the epoch numbers in heartbeats reveal the gap.
+// Tree is the tree along which epochs are forwarded within an availability
+// zone. All members compute it from the same member list. A member with another
+// list may receive an epoch twice or not at all: Replica.Apply rejects the
+// duplicate, and the epoch numbers in heartbeats reveal the gap.
 type Tree struct {
 	// Relays is the number of roots, which read the platform's store.
 	Relays int
@@ -20,9 +20,9 @@
 	Fanout int
 }
 
-// Order returns the members in the order of the tree, relays first. It sorts by a
-// hash of the name, so that members that join or leave change the level of few
-// others.
+// Order returns the members in the order of the tree, relays first. It sorts by
+// a hash of the name, so that members that join or leave change the level of
+// few others.
 func (t Tree) Order(members []id.Instance) []id.Instance {
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b id.Instance) int {
