--- a/internal/spread/doc.go
+++ b/internal/spread/doc.go
@@ -23,7 +23,7 @@
 //	case errors.Is(err, spread.ErrGap), errors.Is(err, spread.ErrDiverged):
 //		// fetch a snapshot from the parent
 //	}
-//	for _, child := range tree.Children(members, self) {
+//	for _, child := range tree.Children(tree.Order(members), self) {
 //		// forward the epoch
 //	}
 package spread
