--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -42,55 +42,56 @@
 )
 
 const (
-	keySize     = 32
-	leaveCheck  = 50 * time.Millisecond
-	maxWaiting  = 4096
-	closeServer = 2 * time.Second
+	ticketKeySize        = 32
+	shutdownPollInterval = 50 * time.Millisecond
+	maxWaiting           = 4096
+	closeServer          = 2 * time.Second
 )
 
 // Daemon is one entry instance. Its exported fields are set before Run.
 type Daemon struct {
 	// Settings are the entry's checked settings.
 	Settings *settings.Settings
-	// Log gets a line for each event.
+	// Log receives a message for each event.
 	Log *slog.Logger
-	// Store is the platform's store; nil is the one of the settings.
-	Store store.Store
-	// Instances is the platform's list of instances; nil is the one of the
+	// Store is the platform's store; nil means the store named in the
 	// settings.
+	Store store.Store
+	// Instances is the platform's list of instances; nil means the list of
+	// the platform named in the settings.
 	Instances instances.Lister
-	// DialPeer connects to another entry; nil is TCP.
+	// DialPeer connects to another entry; nil means TCP.
 	DialPeer func(ctx context.Context, to id.Instance) (net.Conn, error)
-	// DialBackend connects to a backend server; nil is TCP.
+	// DialBackend connects to a backend server; nil means TCP.
 	DialBackend func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
-	// Started is called once all listeners are open; nil is not called.
+	// Started, if not nil, is called once all listeners are open.
 	Started func()
 
-	incarnation id.Incarnation
-	started     time.Time
-	store       *observed.Store
-	node        *rpc.Node
-	view        atomic.Pointer[view]
-	warm        atomic.Bool
-	lookups     lookups
-	slots       shared.Admitter
-	leases      *lease.Keeper
-	board       notices.Board
-	exchange    *notices.Exchange
-	quarantine  quarantine.List
-	config      *config.Keeper
-	sightings   *sightings.Exchange
-	members     membership.Table
-	heartbeat   *membership.Heartbeat
-	loads       loads.Board
-	steering    *routing.Router
-	limits      limits
-	budgets     entry.Budgets
-	admitter    admission.Admitter
-	handler     *entry.Handler
-	callers     *httpserver.Server
-	operators   *httpserver.Server
-	metrics     *metrics.Set
+	incarnation  id.Incarnation
+	started      time.Time
+	store        *observed.Store
+	node         *rpc.Node
+	view         atomic.Pointer[view]
+	startupDone  atomic.Bool
+	lookups      lookups
+	slots        shared.Admitter
+	leases       *lease.Keeper
+	board        notices.Board
+	exchange     *notices.Exchange
+	quarantine   quarantine.List
+	config       *config.Keeper
+	crashReports *sightings.Exchange
+	members      membership.Table
+	heartbeat    *membership.Heartbeat
+	loads        loads.Board
+	router       *routing.Router
+	limits       limits
+	budgets      entry.Budgets
+	admitter     admission.Admitter
+	handler      *entry.Handler
+	callers      *httpserver.Server
+	operators    *httpserver.Server
+	metrics      *metrics.Set
 
 	mu   sync.Mutex
 	stop leaving.Stop
@@ -99,9 +100,9 @@
 
 var errKilled = eris.New("killed")
 
-// Run serves until a planned stop has ended, and returns nil then. The end of
-// ctx begins the planned stop. Run returns an error if the entry can't start
-// or was killed.
+// Run serves until graceful shutdown is complete and then returns nil. The end
+// of ctx begins graceful shutdown. Run returns an error if the entry can't
+// start or was killed.
 func (d *Daemon) Run(ctx context.Context) error {
 	if err := d.prepare(); err != nil {
 		return err
@@ -114,15 +115,15 @@
 	d.mu.Unlock()
 	peers, err := net.Listen("tcp", d.Settings.Listeners.Peer.String())
 	if err != nil {
-		return eris.Wrap(err, "listen for entries")
+		return eris.Wrap(err, "listen for peers")
 	}
 	defer d.node.Close()
 	defer peers.Close()
 	go func() { _ = d.node.Serve(ctx, peers) }()
-	for _, run := range []func(context.Context) error{d.exchange.Run, d.sightings.Run, d.heartbeat.Run, d.config.Run} {
+	for _, run := range []func(context.Context) error{d.exchange.Run, d.crashReports.Run, d.heartbeat.Run, d.config.Run} {
 		go func() { _ = run(ctx) }()
 	}
-	go d.steer(ctx)
+	go d.runRouter(ctx)
 	go d.keepLeases(ctx)
 	go d.slots.Run(ctx)
 	go func() { _ = d.prober().Run(ctx) }()
@@ -139,10 +140,10 @@
 	if d.Started != nil {
 		d.Started()
 	}
-	return d.serve(ctx)
+	return d.awaitShutdown(ctx)
 }
 
-// Leave begins the planned stop; later calls do nothing.
+// Leave begins graceful shutdown; later calls do nothing.
 func (d *Daemon) Leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,11 +155,11 @@
 	go d.slots.Leave()
 }
 
-// Operator returns the address of the operators' listener once Started was
-// called.
-func (d *Daemon) Operator() netip.AddrPort { return d.operators.Address }
+// OperatorAddress returns the address of the operators' listener. It is valid
+// once Started was called.
+func (d *Daemon) OperatorAddress() netip.AddrPort { return d.operators.Address }
 
-// Kill ends Run at once and cuts what runs.
+// Kill ends Run at once and aborts running requests.
 func (d *Daemon) Kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,19 +168,20 @@
 	}
 }
 
-// phase returns the phase of the planned stop.
+// phase returns the phase of graceful shutdown.
 func (d *Daemon) phase(running int) leaving.Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.stop.Phase(time.Now(), running)
 }
 
-// closed tells whether new requests are refused.
+// closed reports whether new requests are rejected.
 func (d *Daemon) closed() bool { return d.phase(1) >= leaving.Closed }
 
-// serve waits for the end of a planned stop.
-func (d *Daemon) serve(ctx context.Context) error {
-	tick := time.NewTicker(leaveCheck)
+// awaitShutdown waits until the entry is closed to new requests and then
+// drains it.
+func (d *Daemon) awaitShutdown(ctx context.Context) error {
+	tick := time.NewTicker(shutdownPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -187,14 +189,14 @@
 			return context.Cause(ctx)
 		case <-tick.C:
 			if d.closed() {
-				return d.finish(ctx)
+				return d.drain(ctx)
 			}
 		}
 	}
 }
 
-// finish closes the callers' listener and waits for what runs.
-func (d *Daemon) finish(ctx context.Context) error {
+// drain closes the callers' listener and waits for running requests.
+func (d *Daemon) drain(ctx context.Context) error {
 	if err := d.callers.Shutdown(ctx); err != nil {
 		return err
 	}
@@ -205,12 +207,12 @@
 	return nil
 }
 
-// prepare builds the parts. Nothing runs yet.
+// prepare builds the components without starting any of them.
 func (d *Daemon) prepare() error {
 	d.started = time.Now()
 	d.incarnation = id.Incarnation(d.started.UnixNano())
 	d.metrics = metrics.NewSet()
-	d.stop = leaving.Stop{Validity: lookup.DefaultValidity, Spread: spreadTime}
+	d.stop = leaving.Stop{Validity: lookup.DefaultValidity, Spread: propagationTime}
 	base := d.Store
 	if base == nil {
 		base = &httpstore.Client{Base: "http://" + d.Settings.Platform.Store.String()}
@@ -219,12 +221,12 @@
 	d.node = &rpc.Node{Self: peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}, Dial: d.dialPeer}
 	d.exchange = &notices.Exchange{
 		Self: d.Settings.Instance, Board: &d.board, Peers: d.node, Others: d.others, Store: d.store,
-		Rand: mathrand(d.incarnation), Changed: d.noticed, Log: d.Log,
+		Rand: mathrand(d.incarnation), Changed: d.noticesChanged, Log: d.Log,
 	}
 	d.exchange.Register(d.node)
 	d.quarantine.Instance = d.Settings.Instance
-	d.sightings = &sightings.Exchange{List: &d.quarantine, Peers: d.node, Others: d.others, Rand: mathrand(d.incarnation + 1)}
-	d.sightings.Register(d.node)
+	d.crashReports = &sightings.Exchange{List: &d.quarantine, Peers: d.node, Others: d.others, Rand: mathrand(d.incarnation + 1)}
+	d.crashReports.Register(d.node)
 	d.config = &config.Keeper{Store: d.store, Caller: d.node, Peers: d.others, Log: d.Log}
 	d.config.OnChange(d.apply)
 	d.node.Register(config.FetchMethod, d.config.HandleFetch)
@@ -234,7 +236,7 @@
 	return d.prepareListeners()
 }
 
-// prepareMembers builds the heartbeats.
+// prepareMembers builds the heartbeat exchange.
 func (d *Daemon) prepareMembers() {
 	d.members.Self = d.Settings.Instance
 	list := d.Instances
@@ -242,16 +244,16 @@
 		list = &instances.Client{Base: "http://" + d.Settings.Platform.Store.String()}
 	}
 	d.heartbeat = &membership.Heartbeat{
-		Table: &d.members, Incarnation: d.incarnation, Peers: d.node, Entries: d.others(), Own: d.own,
-		Instances: list, Took: d.took, Changed: d.rebuildLookups, Rand: mathrand(d.incarnation + 2), Log: d.Log,
+		Table: &d.members, Incarnation: d.incarnation, Peers: d.node, Entries: d.others(), Own: d.ownReport,
+		Instances: list, Took: d.observeHeartbeat, Changed: d.rebuildLookups, Rand: mathrand(d.incarnation + 2), Log: d.Log,
 	}
 	d.heartbeat.Register(d.node)
 }
 
 func (d *Daemon) prepareListeners() error {
-	key := make([]byte, keySize)
+	key := make([]byte, ticketKeySize)
 	if _, err := rand.Read(key); err != nil {
-		return eris.Wrap(err, "make a key for tickets")
+		return eris.Wrap(err, "generate ticket key")
 	}
 	d.handler = &entry.Handler{
 		Instance: d.Settings.Instance, Incarnation: d.incarnation, Started: d.started,
@@ -259,7 +261,7 @@
 		Backend: &backend.Client{Dial: d.DialBackend, Entries: len(d.Settings.World.Entries)},
 		Lookup:  &d.lookups,
 		Once:    &once.Registry{Instance: d.Settings.Instance, Incarnation: d.incarnation, Key: key},
-		Entry:   d.callerAddress, Quarantine: &d.quarantine, Spread: d.sightings,
+		Entry:   d.callerAddress, Quarantine: &d.quarantine, Spread: d.crashReports,
 		Log: d.Log, Metrics: d.metrics,
 	}
 	limits := &d.Settings.Limits
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -29,7 +29,7 @@
 	token      = "test"
 )
 
-// system is a deployment's entries over its stand-ins.
+// system runs the entries of a deployment against simulated services.
 type system struct {
 	fleet   *fleet.Fleet
 	entries []*daemon.Daemon
@@ -103,7 +103,7 @@
 	return "http://" + s.fleet.World.Entries[i].Caller.String() + path
 }
 
-// await calls f until it holds.
+// await polls f until it returns true.
 func await(t *testing.T, f func() bool) {
 	t.Helper()
 	for !f() {
@@ -124,18 +124,18 @@
 
 func loopback() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:0") }
 
-// address returns an address of the i-th entry on a loopback address of its
-// own, where nothing else of the machine listens.
+// address returns an address of the i-th entry on a separate loopback address,
+// so that ports don't collide with other processes on the machine.
 func address(i, port int) netip.AddrPort {
 	pid := os.Getpid()
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(100 + i), byte(pid >> 8), byte(pid)}), uint16(port))
 }
 
-func TestRequestGoesThroughEveryEntry(t *testing.T) {
+func TestEveryEntryForwardsRequests(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 3)
 	status, header, _ := get(t, s.url(0, "/s/registry/findings/8"))
-	is.Equal(status, http.StatusServiceUnavailable) // nothing is served before a version is known
+	is.Equal(status, http.StatusServiceUnavailable) // no request is served before a configuration is known
 	is.Equal(header.Get(result.HeaderCode), result.NotReady.String())
 	is.Equal(header.Get(result.HeaderRan), "no")
 
@@ -154,11 +154,11 @@
 	}
 }
 
-func TestStatusTellsHomesAndReports(t *testing.T) {
+func TestStatusShowsHomesAndLoadReports(t *testing.T) {
 	is := is.New(t)
 	s := start(t, 2)
 	s.publish(t)
-	client := operator.NewClient(s.entries[0].Operator(), token)
+	client := operator.NewClient(s.entries[0].OperatorAddress(), token)
 	var last operator.Status
 	await(t, func() bool {
 		status, err := client.Status(t.Context())
@@ -174,7 +174,7 @@
 	}
 }
 
-// reported tells whether every server's report is fresh.
+// reported reports whether every server's load report is fresh.
 func reported(s *operator.Status) bool {
 	for _, svc := range s.Services {
 		for _, b := range svc.Servers {
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -15,70 +15,74 @@
 
 const (
 	leasePrefix = "lease/home/"
-	// leaseTime makes a round of reads and renewals come about every 2.7 s.
-	leaseTime = 9 * time.Second
-	// grantTime is longer than a round and the calls in it take, so that a
-	// read of the term keeps grants alive when their home is lost.
-	grantTime = 6 * time.Second
-	// grantRenew lets one report in three be lost, and keeps reports at rest
-	// within the budget for control.
-	grantRenew = 2 * time.Second
-	configPoll = 50 * time.Millisecond
-	// homesTime is how long a starting entry waits for homes to be known.
-	homesTime = 15 * time.Second
+	// leaseDuration is the lifetime of a lease. It results in a round of reads
+	// and renewals about every 2.7 s.
+	leaseDuration = 9 * time.Second
+	// grantLifetime is longer than a round of lease reads with its calls, so
+	// that grants whose home is lost stay valid while reads confirm their term.
+	grantLifetime = 6 * time.Second
+	// grantRenewInterval tolerates the loss of one report in three and keeps
+	// the reports of an idle entry within the budget for control traffic.
+	grantRenewInterval = 2 * time.Second
+	configPollInterval = 50 * time.Millisecond
+	// homesTimeout is how long a starting entry waits until every bucket has a
+	// home.
+	homesTimeout = 15 * time.Second
 )
 
-// homeLeases tells who is home of which backend servers, from the leases in
+// homeLeases returns the home entries of backend servers from the leases in
 // the store. It implements shared.Homes.
 type homeLeases struct {
 	keeper *lease.Keeper
-	// likely returns the entry that should be home.
-	likely func(name string) (id.Instance, bool)
+	// preferred returns the entry that should be home of the named bucket.
+	preferred func(name string) (id.Instance, bool)
 }
 
-// Home returns the home of a bucket and its term, as last known. While the
-// store has told nothing yet, the entry that should be home is asked; if it
-// is, its answer tells the term.
+// Home returns the home of a bucket and its term, as last read from the store.
+// Until the lease has been read, it returns the preferred home with term 0; if
+// that entry is the home, its answer contains the term.
 func (h homeLeases) Home(b wire.Bucket) (id.Instance, id.Term, bool) {
 	r, _, ok := h.keeper.Record(bucketName(b))
 	if !ok {
-		likely, found := h.likely(bucketName(b))
+		likely, found := h.preferred(bucketName(b))
 		return likely, 0, found
 	}
 	return r.Holder.Instance, r.Term, !r.Released
 }
 
-// Authority returns the term in which this entry is home, and until when.
+// Authority returns the term in which this entry is home of a bucket, and the
+// end of its lease.
 func (h homeLeases) Authority(b wire.Bucket) (id.Term, time.Time, bool) {
 	now := time.Now()
 	g, ok := h.keeper.Held(bucketName(b))
 	return g.Term, now.Add(g.Remaining), ok
 }
 
-// Confirmed returns the term that the last read of the store showed, and when
-// the read began. A released lease keeps its term until another entry takes
-// it, so what was granted under the term lives on until then.
+// Confirmed returns the term found by the last read of the store, and when that
+// read began. A released lease keeps its term until another entry acquires it,
+// so grants made under the term stay valid until then.
 func (h homeLeases) Confirmed(b wire.Bucket) (id.Term, time.Time, bool) {
 	r, age, ok := h.keeper.Record(bucketName(b))
 	return r.Term, time.Now().Add(-age), ok
 }
 
-// Raise asks for a new term.
+// Raise requests a new term for a bucket.
 func (h homeLeases) Raise(b wire.Bucket) { h.keeper.Raise(bucketName(b)) }
 
 func bucketName(b wire.Bucket) string { return string(b.Service) + "/" + string(b.Zone) }
 
-// prepareLeases builds the leases on the homes of backend servers.
+// prepareLeases builds the keeper of the home leases.
 func (d *Daemon) prepareLeases() {
 	d.leases = &lease.Keeper{
 		Store: d.store, Prefix: leasePrefix, Self: lease.Owner{Instance: d.Settings.Instance, Incarnation: d.incarnation},
-		Lifetime: leaseTime, Names: d.buckets, Want: d.wantsHome, Gone: d.gone, Log: d.Log,
+		Lifetime: leaseDuration, Names: d.buckets, Want: d.wantsHome, Gone: d.removedByPlatform, Log: d.Log,
 	}
 }
 
-// keepLeases keeps the leases until ctx ends, from the first configuration on.
+// keepLeases waits for the first configuration, then acquires and renews leases
+// until ctx ends.
 func (d *Daemon) keepLeases(ctx context.Context) {
-	tick := time.NewTicker(configPoll)
+	tick := time.NewTicker(configPollInterval)
 	defer tick.Stop()
 	for d.view.Load() == nil {
 		select {
@@ -90,7 +94,7 @@
 	_ = d.leases.Run(ctx)
 }
 
-// buckets names the buckets of the configuration in force.
+// buckets returns the names of the buckets of the active configuration.
 func (d *Daemon) buckets() []string {
 	var out []string
 	for _, f := range d.files() {
@@ -105,8 +109,8 @@
 	return out
 }
 
-// homesKnown tells whether every bucket has a home, as far as is known, so that
-// slots can be had.
+// homesKnown reports whether every bucket has a home according to the last
+// reads of the store, so that slots can be obtained.
 func (d *Daemon) homesKnown() bool {
 	for _, name := range d.buckets() {
 		if r, _, ok := d.leases.Record(name); !ok || r.Released {
@@ -116,9 +120,10 @@
 	return true
 }
 
-// wantsHome tells whether this entry should be home of a bucket. A home stays
-// home until it leaves, also when a nearer entry comes: a bucket that moves
-// without its free slots handed over has fewer for the longest deadline.
+// wantsHome reports whether this entry should be home of a bucket. A home keeps
+// the bucket until it shuts down, even if a nearer entry joins: a bucket that
+// moves without a handover of its free slots has fewer slots until the longest
+// request deadline has passed.
 func (d *Daemon) wantsHome(name string) bool {
 	if d.phase(1) != leaving.Serving && (d.slots.Handed() || d.closed()) {
 		return false
@@ -126,19 +131,19 @@
 	if _, held := d.leases.Held(name); held {
 		return true
 	}
-	best, ok := d.likelyHome(name)
+	best, ok := d.preferredHome(name)
 	return ok && best == d.Settings.Instance
 }
 
-// likelyHome returns the entry that should be home of a bucket.
-func (d *Daemon) likelyHome(name string) (id.Instance, bool) {
+// preferredHome returns the entry that should be home of the named bucket.
+func (d *Daemon) preferredHome(name string) (id.Instance, bool) {
 	service, zone, _ := strings.Cut(name, "/")
 	region, _ := d.Settings.World.Region(id.Zone(zone))
 	return homes.Choose(homes.Bucket{Service: id.Service(service), Zone: id.Zone(zone), Region: region}, d.candidates())
 }
 
-// candidates returns the entries that may become home. This one stays among
-// them until it has handed its free slots over.
+// candidates returns the entries that may become home. This entry remains a
+// candidate during shutdown, until it has handed over its free slots.
 func (d *Daemon) candidates() []homes.Candidate {
 	now := time.Now()
 	var out []homes.Candidate
@@ -155,8 +160,8 @@
 	return out
 }
 
-// gone tells whether the platform says that an instance has ended.
-func (d *Daemon) gone(name id.Instance) bool {
+// removedByPlatform reports whether the platform lists an instance as stopped.
+func (d *Daemon) removedByPlatform(name id.Instance) bool {
 	m := d.members.Member(name, time.Now())
 	return m.Listed == instances.Gone
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -15,16 +15,16 @@
 )
 
 type (
-	// limits holds this entry's part of what all entries use together: an even
-	// part of each cap on a shift and of each link. It is safe for concurrent
-	// use.
+	// limits holds this entry's share of the limits that apply to all entries
+	// together: an equal share of each shift cap and of each link's bandwidth.
+	// It is safe for concurrent use.
 	limits struct {
 		world   *deployment.Deployment
 		region  id.Region
 		started time.Time
 
 		mu     sync.Mutex
-		window time.Duration // the longest of all caps
+		window time.Duration // longest window of all caps
 		caps   sync.Map      // capKey to *shift.Gate
 		links  map[id.Region]*link.Budget
 	}
@@ -35,36 +35,37 @@
 	}
 )
 
-// configure makes gates for what the files name for the first time. The part
-// of a cap that belonged to an earlier process of the instance may be used
-// from the length of one window after this one started.
+// configure creates gates for services and regions that are new in the files
+// and updates the floor of the others. The share of a cap that an earlier
+// process of the instance may have used becomes available one window after the
+// start of this process.
 func (l *limits) configure(files []*service.File, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range files {
-		part := f.ShiftCap.Rise * l.part()
+		share := f.ShiftCap.Rise * l.share()
 		l.window = max(l.window, f.ShiftCap.Window.Std())
 		for _, r := range f.Regions {
 			key := capKey{f.Service, r.Name}
 			if known, ok := l.caps.Load(key); ok {
 				if g, ok := known.(*shift.Gate); ok {
-					g.SetFloor(now, part)
+					g.SetFloor(now, share)
 				}
 				continue
 			}
-			l.caps.Store(key, shift.NewGate(f.ShiftCap.Window.Std(), part, now, l.started))
+			l.caps.Store(key, shift.NewGate(f.ShiftCap.Window.Std(), share, now, l.started))
 		}
 	}
 }
 
-// readyAt returns when all parts of the caps may be used.
+// readyAt returns when this entry's share of every cap is available in full.
 func (l *limits) readyAt() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.started.Add(l.window)
 }
 
-// prepare makes the links' budgets.
+// prepare creates the budgets of the links to the other regions.
 func (l *limits) prepare(now time.Time) {
 	l.links = map[id.Region]*link.Budget{}
 	for _, r := range l.world.Regions {
@@ -73,15 +74,16 @@
 			continue
 		}
 		b := new(link.Budget)
-		b.SetRate(link.Limit(between, measured.Value[unit.BitRate]{}, now).BytesPerSecond(), float64(l.part()))
+		b.SetRate(link.Limit(between, measured.Value[unit.BitRate]{}, now).BytesPerSecond(), float64(l.share()))
 		l.links[r.Name] = b
 	}
 }
 
-// part returns this entry's part of what all entries use together.
-func (l *limits) part() unit.Rate { return 1 / unit.Rate(len(l.world.Entries)) }
+// share returns this entry's share of a limit as a fraction.
+func (l *limits) share() unit.Rate { return 1 / unit.Rate(len(l.world.Entries)) }
 
-// Cap returns the cap of a service toward a region.
+// Cap returns the cap on traffic shifts of a service to a region, nil if there
+// is none.
 func (l *limits) Cap(of id.Service, region id.Region) steered.Cap {
 	if v, ok := l.caps.Load(capKey{of, region}); ok {
 		if g, ok := v.(*shift.Gate); ok {
@@ -91,5 +93,6 @@
 	return nil
 }
 
-// Link returns the budget toward another region.
+// Link returns the bandwidth budget of the link to another region, nil if there
+// is none.
 func (l *limits) Link(region id.Region) *link.Budget { return l.links[region] }
--- a/internal/daemon/lookups.go
+++ b/internal/daemon/lookups.go
@@ -10,7 +10,8 @@
 	wire "github.com/shallotpier/shallotpier/pkg/lookup"
 )
 
-// lookups answers look-ups from a table that is replaced as a whole.
+// lookups answers lookups from an immutable table, which is replaced
+// atomically.
 type lookups struct {
 	table atomic.Pointer[lookup.Table]
 }
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -14,23 +14,23 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-const stepTime = time.Second
+const routerInterval = time.Second
 
-// own is what this entry says of itself in its heartbeats.
-func (d *Daemon) own() membership.Own {
-	own := membership.Own{Leaving: d.phase(1) != leaving.Serving, Starting: d.starting()}
+// ownReport returns this entry's own state for its heartbeats.
+func (d *Daemon) ownReport() membership.Own {
+	report := membership.Own{Leaving: d.phase(1) != leaving.Serving, Starting: d.starting()}
 	t := d.table()
 	if t == nil {
-		return own
+		return report
 	}
-	own.Config = d.config.Current().Ref()
+	report.Config = d.config.Current().Ref()
 	for _, f := range t.Services {
-		own.Uses = append(own.Uses, d.uses(f)...)
+		report.Uses = append(report.Uses, d.uses(f)...)
 	}
-	return own
+	return report
 }
 
-// uses returns the slots that this entry uses of a service, by region.
+// uses returns the number of a service's slots that this entry uses, by region.
 func (d *Daemon) uses(f *service.File) []loads.Use {
 	sums := map[id.Region]int{}
 	for i := range f.Servers {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// used returns the slots of a server that this entry has in use.
+// used returns the number of a server's slots that this entry has in use.
 func (d *Daemon) used(of id.Service, server id.Server) int {
 	g := d.slots.Pool.Gate(pool.Key{Service: of, Server: server})
 	if g == nil {
@@ -56,13 +56,15 @@
 	return used
 }
 
-// took takes in what a heartbeat says of loads and of the configuration.
-func (d *Daemon) took(b *membership.Beat) {
+// observeHeartbeat records the configuration version and the slots in use that
+// a heartbeat reports.
+func (d *Daemon) observeHeartbeat(b *membership.Beat) {
 	d.config.Heard(b.Instance, b.Config)
 	d.loads.Take(b.Instance, time.Now(), b.Uses)
 }
 
-// rebuildLookups makes a new look-up table from what is known of the entries.
+// rebuildLookups builds a new lookup table from the current states of the
+// entries.
 func (d *Daemon) rebuildLookups() {
 	now := time.Now()
 	states := map[id.Instance]lookup.State{}
@@ -76,7 +78,7 @@
 	}
 	t, err := lookup.Near(d.Settings.World, d.Settings.Region, states).Build()
 	if err != nil {
-		d.Log.Error("lookupTable", "error", err)
+		d.Log.Error("lookup table not built", "error", err)
 		return
 	}
 	d.lookups.table.Store(t)
@@ -93,26 +95,27 @@
 	}
 }
 
-// starting tells whether the entry can't take its part of the load yet. Once
-// it could, it doesn't start again.
+// starting reports whether the entry can't take its share of the load yet. Once
+// it has returned false, it never returns true again.
 func (d *Daemon) starting() bool {
-	if d.warm.Load() {
+	if d.startupDone.Load() {
 		return false
 	}
 	now := time.Now()
 	if d.table() == nil || now.Before(d.limits.readyAt()) {
 		return true
 	}
-	if !d.homesKnown() && now.Sub(d.started) < homesTime {
+	if !d.homesKnown() && now.Sub(d.started) < homesTimeout {
 		return true
 	}
-	d.warm.Store(true)
+	d.startupDone.Store(true)
 	return false
 }
 
-// steer moves the steering on until ctx ends.
-func (d *Daemon) steer(ctx context.Context) {
-	tick := time.NewTicker(stepTime)
+// runRouter updates the router and the lookup table at regular intervals until
+// ctx ends.
+func (d *Daemon) runRouter(ctx context.Context) {
+	tick := time.NewTicker(routerInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -120,14 +123,14 @@
 			return
 		case <-tick.C:
 			now := time.Now()
-			d.loads.Take(d.Settings.Instance, now, d.own().Uses)
-			d.steering.Step(now, d.regionLoads)
+			d.loads.Take(d.Settings.Instance, now, d.ownReport().Uses)
+			d.router.Step(now, d.regionLoads)
 			d.rebuildLookups()
 		}
 	}
 }
 
-// regionLoads returns the load of each region of a service.
+// regionLoads returns the load of a service in each of its regions.
 func (d *Daemon) regionLoads(f *service.File) map[id.Region]measured.Value[float64] {
 	alive := d.alive()
 	slots := map[id.Region]int{}
@@ -144,7 +147,7 @@
 	return out
 }
 
-// alive returns the entries that are heard, this one included.
+// alive returns the entries with recent heartbeats, including this one.
 func (d *Daemon) alive() []id.Instance {
 	now := time.Now()
 	out := []id.Instance{d.Settings.Instance}
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -12,36 +12,37 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// prepareSlots builds what permits requests.
+// prepareSlots builds the admission control of requests: leases, slots, router
+// and limits.
 func (d *Daemon) prepareSlots() {
 	world := d.Settings.World
 	d.prepareLeases()
 	d.slots.Self = peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}
-	d.slots.Caller, d.slots.Homes, d.slots.Entries = d.node, homeLeases{d.leases, d.likelyHome}, len(world.Entries)
-	d.slots.Lifetime, d.slots.Renew, d.slots.Log = grantTime, grantRenew, d.Log
+	d.slots.Caller, d.slots.Homes, d.slots.Entries = d.node, homeLeases{d.leases, d.preferredHome}, len(world.Entries)
+	d.slots.Lifetime, d.slots.Renew, d.slots.Log = grantLifetime, grantRenewInterval, d.Log
 	d.slots.Distance = func(z id.Zone) time.Duration { return world.Delay(d.Settings.Zone, z) }
 	for method, handler := range d.slots.Handlers() {
 		d.node.Register(method, handler)
 	}
-	d.steering = &routing.Router{World: world, Zone: d.Settings.Zone, Inner: &d.slots}
-	d.slots.Pool.Order = d.steering.Order
+	d.router = &routing.Router{World: world, Zone: d.Settings.Zone, Inner: &d.slots}
+	d.slots.Pool.Order = d.router.Order
 	d.slots.Pool.MaxWaiting = maxWaiting
 	d.limits = limits{world: world, region: d.Settings.Region, started: d.started}
 	d.limits.prepare(d.started)
 	d.admitter = &steered.Admitter{
-		Inner: d.steering, Self: d.Settings.Region, Region: world.Region, Cap: d.limits.Cap, Link: d.limits.Link,
+		Inner: d.router, Self: d.Settings.Region, Region: world.Region, Cap: d.limits.Cap, Link: d.limits.Link,
 	}
 }
 
-// prober returns what asks the backend servers for their health and load.
+// prober returns a prober that polls the health and load of backend servers.
 func (d *Daemon) prober() *probe.Prober {
 	return &probe.Prober{
-		Services: d.files, Dial: d.DialBackend, Probed: d.steering.SetProbe, Reported: d.steering.SetReport,
+		Services: d.files, Dial: d.DialBackend, Probed: d.router.SetProbe, Reported: d.router.SetReport,
 		Rand: mathrand(d.incarnation + 3),
 	}
 }
 
-// files returns the service files in force.
+// files returns the service files of the active configuration.
 func (d *Daemon) files() []*service.File {
 	v := d.view.Load()
 	if v == nil {
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -23,7 +23,7 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// source answers operators.
+// source provides the data and commands of the operators' listener.
 type source struct{ *Daemon }
 
 var _ operator.Source = (*source)(nil)
@@ -36,7 +36,7 @@
 	case s.phase(1) != leaving.Serving:
 		return eris.New("leaving")
 	case s.starting():
-		return eris.New("starting: waits for the homes of backend servers, and until what an earlier process sent can't count against a cap")
+		return eris.New("starting: waiting until all backend servers have a home entry and the shift cap windows have passed since the start")
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 func (s *source) Status(context.Context) (operator.Status, error) {
 	out := operator.Status{
 		Instance: s.Settings.Instance, Zone: s.Settings.Zone, Region: s.Settings.Region,
-		Incarnation: s.incarnation, Ready: true, Leaving: s.phase(1) != leaving.Serving, Store: s.storeSeen(),
+		Incarnation: s.incarnation, Ready: true, Leaving: s.phase(1) != leaving.Serving, Store: s.storeStatus(),
 	}
 	if err := s.Ready(); err != nil {
 		out.Ready, out.NotReady = false, err.Error()
@@ -63,7 +63,7 @@
 	return out, nil
 }
 
-func (s *source) storeSeen() operator.Seen {
+func (s *source) storeStatus() operator.Seen {
 	r := s.store.Report()
 	switch {
 	case r.LastAnswer.IsZero():
@@ -75,8 +75,8 @@
 	}
 }
 
-// linkStatus tells what this entry may send over each link of its region. What
-// it sends is not measured.
+// linkStatus returns the bandwidth budget of this entry on each link of its
+// region. The bandwidth in use is not measured.
 func (s *source) linkStatus() []operator.LinkStatus {
 	var out []operator.LinkStatus
 	for _, r := range s.Settings.World.Regions {
@@ -86,7 +86,7 @@
 		}
 		all := link.Limit(l, measured.Value[unit.BitRate]{}, time.Now())
 		out = append(out, operator.LinkStatus{
-			From: s.Settings.Region, To: r.Name, Budget: unit.BitRate(float64(all) * float64(s.limits.part())),
+			From: s.Settings.Region, To: r.Name, Budget: unit.BitRate(float64(all) * float64(s.limits.share())),
 			Seen: operator.Seen{State: measured.Missing.String()},
 		})
 	}
@@ -131,7 +131,7 @@
 		b := &f.Servers[i]
 		used := s.used(f.Service, b.Name)
 		state := s.serverState(f, b)
-		out.Servers = append(out.Servers, operator.ServerStatus{Name: b.Name, Zone: b.Zone, State: state, Slots: b.Slots, Used: used, Home: s.home(f.Service, b.Zone), Seen: s.reportSeen(f.Service, b.Name)})
+		out.Servers = append(out.Servers, operator.ServerStatus{Name: b.Name, Zone: b.Zone, State: state, Slots: b.Slots, Used: used, Home: s.home(f.Service, b.Zone), Seen: s.reportAge(f.Service, b.Name)})
 		region, _ := s.Settings.World.Region(b.Zone)
 		if h := regions[region]; h != nil {
 			h.Used += used
@@ -143,16 +143,16 @@
 	return out
 }
 
-// reportSeen tells how old a server's last report of its load is.
-func (s *source) reportSeen(of id.Service, server id.Server) operator.Seen {
-	v, now := s.steering.Report(of, server), time.Now()
+// reportAge returns the state and age of a server's last load report.
+func (s *source) reportAge(of id.Service, server id.Server) operator.Seen {
+	v, now := s.router.Report(of, server), time.Now()
 	_, state := v.Read(now, health.MaxAge)
 	age, _ := v.Age(now)
 	return operator.Seen{State: state.String(), Age: unit.Duration(max(age, 0))}
 }
 
 // home returns the entry that grants the slots of a service's servers in a
-// zone, empty if it isn't known.
+// zone, or the empty name if it is unknown.
 func (s *source) home(of id.Service, zone id.Zone) id.Instance {
 	r, _, ok := s.leases.Record(bucketName(wire.Bucket{Service: of, Zone: zone}))
 	if !ok || r.Released {
@@ -161,12 +161,13 @@
 	return r.Holder.Instance
 }
 
-// serverState says whether a server takes new work.
+// serverState returns a server's state for the status: whether it takes new
+// requests, or why not.
 func (s *source) serverState(f *service.File, b *service.Server) string {
 	if b.Leaving {
 		return "leaving"
 	}
-	verdict, level := s.steering.Verdict(f.Service, b.Name, time.Now())
+	verdict, level := s.router.Verdict(f.Service, b.Name, time.Now())
 	switch {
 	case verdict == health.No:
 		return "out"
@@ -198,9 +199,9 @@
 	out.Class = class.Name
 	entries, _ := s.lookups.Entries(q.Service, q.Caller)
 	for _, e := range entries {
-		out.Entries = append(out.Entries, operator.Choice{Name: string(e.Instance), Weight: float64(e.Weight), Why: "look-up table"})
+		out.Entries = append(out.Entries, operator.Choice{Name: string(e.Instance), Weight: float64(e.Weight), Why: "lookup table"})
 	}
-	for _, b := range s.steering.Order(&admission.Request{Service: f, Class: class, Caller: q.Caller}) {
+	for _, b := range s.router.Order(&admission.Request{Service: f, Class: class, Caller: q.Caller}) {
 		why := "one-way delay " + s.Settings.World.Delay(s.Settings.Zone, b.Zone).String()
 		out.Servers = append(out.Servers, operator.Choice{Name: string(b.Name), Zone: b.Zone, Why: why})
 	}
@@ -221,7 +222,7 @@
 	if t.Instance != "" {
 		return s.drainInstance(t, leave)
 	}
-	if err := s.known(t); err != nil {
+	if err := s.checkTarget(t); err != nil {
 		return operator.Progress{}, err
 	}
 	if s.board.Leaving(t.Service, t.Server) != leave {
@@ -233,15 +234,15 @@
 func (s *source) drainInstance(t operator.Target, leave bool) (operator.Progress, error) {
 	switch {
 	case t.Instance != s.Settings.Instance:
-		return operator.Progress{}, operator.Errorf(result.BadCommand, "this is %s; ask %s itself", s.Settings.Instance, t.Instance)
+		return operator.Progress{}, operator.Errorf(result.BadCommand, "this is entry %s; send the command to %s", s.Settings.Instance, t.Instance)
 	case !leave:
-		return operator.Progress{}, operator.Errorf(result.BadCommand, "an entry that is leaving can't be kept; start it again")
+		return operator.Progress{}, operator.Errorf(result.BadCommand, "the shutdown of an entry can't be cancelled; restart the entry")
 	}
 	s.Leave()
-	return operator.Progress{Target: t, Draining: true, Text: "waits for look-up answers to run out"}, nil
+	return operator.Progress{Target: t, Draining: true, Text: "waiting for lookup answers to expire"}, nil
 }
 
-func (s *source) known(t operator.Target) error {
+func (s *source) checkTarget(t operator.Target) error {
 	tab := s.table()
 	if tab == nil {
 		return operator.Errorf(result.NotReady, "no configuration yet")
@@ -258,7 +259,7 @@
 	if t.Instance != "" {
 		return operator.Progress{Target: t, Draining: s.phase(1) != leaving.Serving}, nil
 	}
-	if err := s.known(t); err != nil {
+	if err := s.checkTarget(t); err != nil {
 		return operator.Progress{}, err
 	}
 	out := operator.Progress{Target: t, Running: s.used(t.Service, t.Server)}
@@ -285,7 +286,7 @@
 	if err := mark.UnmarshalText([]byte(name)); err != nil {
 		return operator.Errorf(result.BadCommand, "%v", err)
 	}
-	s.sightings.Spread(ctx, s.quarantine.Lift(time.Now(), mark))
+	s.crashReports.Spread(ctx, s.quarantine.Lift(time.Now(), mark))
 	return nil
 }
 
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -9,17 +9,18 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// spreadTime is the longest time until all entries know what one tells them.
-const spreadTime = 3 * time.Second
+// propagationTime is the longest time until an update of one entry has reached
+// all others.
+const propagationTime = 3 * time.Second
 
-// view is what requests read. It is immutable.
+// view is the data that requests read. It is immutable.
 type view struct {
-	// table is the configuration in force.
+	// table is the active configuration.
 	table entry.Table
 }
 
-// table returns the configuration in force, nil if there is none yet that may
-// be served.
+// table returns the active configuration, nil if there is none or it is not
+// ready to be served yet.
 func (d *Daemon) table() *entry.Table {
 	if v := d.view.Load(); v != nil && d.config.Ready() {
 		return &v.table
@@ -27,7 +28,8 @@
 	return nil
 }
 
-// apply puts a configuration in force.
+// apply activates a configuration, unless its version is not newer than the
+// active one.
 func (d *Daemon) apply(t *config.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,8 +39,8 @@
 	d.install(t.Version(), t.Publication.Files)
 }
 
-// noticed makes a new view after a notice.
-func (d *Daemon) noticed() {
+// noticesChanged rebuilds the view after a change of the drain notices.
+func (d *Daemon) noticesChanged() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.view.Load()
@@ -52,25 +54,26 @@
 	d.install(old.table.Version, files)
 }
 
-// install makes the view of a configuration, with the servers marked that
-// notices say are leaving.
+// install builds and activates the view of a configuration, with the drain
+// notices applied.
 func (d *Daemon) install(version id.Version, files []service.File) {
 	v := &view{table: entry.Table{Version: version, Services: map[id.Service]*service.File{}}}
 	var marked []*service.File
 	for i := range files {
-		f := d.mark(&files[i])
+		f := d.withNotices(&files[i])
 		v.table.Services[f.Service] = f
 		marked = append(marked, f)
 	}
 	now := time.Now()
 	d.slots.Configure(marked)
 	d.limits.configure(marked, now)
-	d.steering.Configure(marked, now)
+	d.router.Configure(marked, now)
 	d.view.Store(v)
 }
 
-// mark returns a copy of the file that takes the notices into account.
-func (d *Daemon) mark(f *service.File) *service.File {
+// withNotices returns a copy of the file with the drain notices applied to its
+// servers.
+func (d *Daemon) withNotices(f *service.File) *service.File {
 	out := *f
 	out.Servers = make([]service.Server, len(f.Servers))
 	copy(out.Servers, f.Servers)
