--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -245,7 +245,7 @@
 	}
 	d.heartbeat = &membership.Heartbeat{
 		Table: &d.members, Incarnation: d.incarnation, Peers: d.node, Entries: d.others(), Own: d.ownReport,
-		Instances: list, Took: d.observeHeartbeat, Changed: d.rebuildLookups, Rand: mathrand(d.incarnation + 2), Log: d.Log,
+		Instances: list, Applied: d.observeHeartbeat, Changed: d.rebuildLookups, Rand: mathrand(d.incarnation + 2), Log: d.Log,
 	}
 	d.heartbeat.Register(d.node)
 }
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -150,7 +150,7 @@
 	for _, e := range d.Settings.World.Entries {
 		if e.Name != d.Settings.Instance {
 			m := d.members.Member(e.Name, now)
-			if !m.Heard || m.Own.Leaving || m.Listed == instances.Gone {
+			if !m.Alive || m.Own.Leaving || m.Listed == instances.Gone {
 				continue
 			}
 		}
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -152,7 +152,7 @@
 	now := time.Now()
 	out := []id.Instance{d.Settings.Instance}
 	for _, name := range d.others() {
-		if m := d.members.Member(name, now); m.Heard {
+		if m := d.members.Member(name, now); m.Alive {
 			out = append(out, name)
 		}
 	}
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -110,7 +110,7 @@
 		}
 		m := s.members.Member(e.Name, now)
 		seen := operator.Seen{State: "fresh", Age: unit.Duration(m.Silence)}
-		if !m.Heard {
+		if !m.Alive {
 			seen.State = "stale"
 		}
 		out = append(out, operator.InstanceStatus{Name: e.Name, Zone: e.Zone, Region: region, State: m.Lookup().String(), Version: m.Own.Config.Version, Seen: seen})
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -14,15 +14,15 @@
 const maxHeard = 1024
 
 type (
-	// Own is what an entry says of itself.
+	// Own is the state that an entry reports of itself.
 	Own struct {
-		// Config is the publication that it has in force, zero for none.
+		// Config is its active configuration, zero if it has none.
 		Config config.Ref `json:"config"`
-		// Leaving tells that it is about to stop.
+		// Leaving reports whether it is shutting down.
 		Leaving bool `json:"leaving,omitempty"`
-		// Starting tells that it can't take its part of the load yet.
+		// Starting reports whether it can't take its share of the load yet.
 		Starting bool `json:"starting,omitempty"`
-		// Uses lists the slots that it uses.
+		// Uses lists the slots that it has in use.
 		Uses loads.Uses `json:"uses,omitempty"`
 	}
 
@@ -33,35 +33,36 @@
 		// Incarnation is that of the sender's process.
 		Incarnation id.Incarnation `json:"incarnation"`
 		Own
-		// Heard lists whom the sender heard directly; in a beat that is no
-		// answer, the receiver alone.
+		// Heard lists the entries whose heartbeats the sender received
+		// directly; in a heartbeat that is not an answer, only the receiver.
 		Heard []Heard `json:"heard,omitempty"`
 	}
 
-	// Heard says that the sender of a beat heard an entry directly.
+	// Heard reports that the sender of a heartbeat received a heartbeat
+	// directly from an entry.
 	Heard struct {
 		// Instance is the entry.
 		Instance id.Instance `json:"instance"`
 		// Incarnation is that of the entry's process.
 		Incarnation id.Incarnation `json:"incarnation"`
-		// Age is how long before the beat it was last heard.
+		// Age is the time between the entry's last heartbeat and this one.
 		Age unit.Duration `json:"age"`
-		// Leaving tells that it was about to stop.
+		// Leaving reports whether the entry was shutting down.
 		Leaving bool `json:"leaving,omitempty"`
 	}
 )
 
-// Check tells what is wrong with a decoded beat, nil if nothing is.
+// Check validates a decoded heartbeat.
 func (b *Beat) Check() error {
 	if b.Instance == "" || b.Incarnation == 0 {
-		return eris.New("beat without a sender")
+		return eris.New("heartbeat without a sender")
 	}
 	if len(b.Heard) > maxHeard {
-		return eris.Errorf("beat names %d entries, want at most %d", len(b.Heard), maxHeard)
+		return eris.Errorf("heartbeat lists %d entries, want at most %d", len(b.Heard), maxHeard)
 	}
 	for _, h := range b.Heard {
 		if h.Instance == "" || h.Age < 0 || h.Age.Std() > 24*time.Hour {
-			return eris.Errorf("beat names %q with age %s", h.Instance, h.Age)
+			return eris.Errorf("heartbeat lists entry %q with age %s", h.Instance, h.Age)
 		}
 	}
 	return nil
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,25 +1,29 @@
-// Package membership says which other entries are alive, by heartbeats between
-// them and the platform's list of instances.
+// Package membership detects which other entries are alive, from heartbeats
+// between the entries and the platform's list of instances.
 //
-// Entries exchange a [Beat] with each other every half second. A beat tells
-// its sender's configuration version, whether it is leaving, and how long ago
-// it heard each other entry directly. An entry counts as heard when a beat of
-// its own arrives, or when the answer to a beat says that a third entry heard
-// it; what a third entry only heard of is never passed on. So the loss of many
-// beats, or of one direction between two entries, makes nobody dead, and an
-// entry that stops is dead to all within 3 s.
+// Each entry sends a [Beat] to each other entry every half second. A heartbeat
+// carries its sender's configuration version, whether the sender is shutting
+// down, and how long ago it received a heartbeat directly from the receiver;
+// the answer lists this for all entries. An entry counts as alive if one of its
+// heartbeats arrives, or if the answer of another entry reports one received
+// directly; relayed reports are not relayed again. Therefore neither the loss
+// of many heartbeats nor the loss of one direction between two entries marks
+// an entry as down, and an entry that stops is marked down by all others
+// within 3 s.
 //
-// A [Table] holds what is known and judges it without I/O. A beat of an older
-// incarnation than the latest is left out, so that a process that was replaced
-// can't speak for its successor. A pause of the own process is recognised by
-// [Table.Tick] and not held against the others.
+// A [Table] holds the state of the other entries and evaluates it without I/O.
+// It ignores a heartbeat of an older incarnation than the latest known, so that
+// a replaced process can't change the state of its successor. [Table.Tick]
+// detects a pause of this process, and the length of the pause doesn't count as
+// silence of the other entries.
 //
-// Which word counts depends on the decision. May callers be sent there: the
-// pessimist, so an entry must be heard, not leaving, and not leaving or gone
-// by the platform's list ([Member.Lookup]). May a message be sent there: it
-// must be heard directly and hear this entry ([Member.Mutual]). May its duties
-// be taken over: the platform's word alone ([Member.Listed]), together with
-// the lease's term; silence proves nothing.
+// Each kind of decision uses its own source. Callers are directed only to an
+// entry that is alive, not shutting down, and not listed as leaving or gone by
+// the platform ([Member.Lookup]). Messages are sent only to an entry that was
+// received directly and that receives this entry's heartbeats
+// ([Member.Mutual]). The duties of an entry may be taken over only if the
+// platform lists it as gone ([Member.Listed]), together with the lease's term:
+// missing heartbeats don't prove that its process has ended.
 //
 // # Usage
 //
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -16,7 +16,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Method carries beats between entries.
+// Method is the JSON-RPC method of heartbeats between entries.
 const Method = "membership.beat"
 
 const (
@@ -28,10 +28,10 @@
 )
 
 type (
-	// Heartbeat keeps a Table up to date. Its exported fields must not change
-	// after Run.
+	// Heartbeat exchanges heartbeats with the other entries and updates a
+	// Table from them. Its exported fields must not change after Run.
 	Heartbeat struct {
-		// Table is kept up to date.
+		// Table is the table to update.
 		Table *Table
 		// Incarnation is that of this process.
 		Incarnation id.Incarnation
@@ -39,54 +39,56 @@
 		Peers peer.Caller
 		// Entries lists the other entries of the deployment.
 		Entries []id.Instance
-		// Own returns what this entry says of itself.
+		// Own returns this entry's own state.
 		Own func() Own
-		// Instances is the platform's list; nil asks nobody.
+		// Instances reads the platform's list of instances; nil disables it.
 		Instances instances.Lister
-		// Took is called with each beat that counted; nil is not called.
-		Took func(b *Beat)
-		// Changed is called when an entry's state for look-ups has changed;
-		// nil is not called.
+		// Applied, if not nil, is called with each heartbeat that was applied
+		// to the table.
+		Applied func(b *Beat)
+		// Changed, if not nil, is called when an entry's state for lookups has
+		// changed.
 		Changed func()
-		// Rand jitters the beats. It is used by Run alone.
+		// Rand provides the jitter of the heartbeats. Only Run uses it.
 		Rand *rand.Rand
-		// Log gets a line for each change.
+		// Log receives a message for each change of an entry's state.
 		Log *slog.Logger
 
-		mu    sync.Mutex
-		known map[id.Instance]lookup.State
+		mu     sync.Mutex
+		states map[id.Instance]lookup.State
 	}
 
-	// registrar takes the handlers of methods.
+	// registrar registers the handlers of JSON-RPC methods.
 	registrar interface {
 		Register(method string, handler peer.Handler)
 	}
 )
 
-// Register registers the method that Heartbeat answers.
+// Register registers the handler of heartbeats.
 func (h *Heartbeat) Register(r registrar) { r.Register(Method, h.handle) }
 
-// Run sends beats and judges what is heard until ctx ends.
+// Run sends heartbeats and updates the entries' states until ctx ends.
 func (h *Heartbeat) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, to := range h.Entries {
 		first := time.Duration(h.Rand.Int64N(int64(interval)))
-		wg.Go(func() { h.beatTo(ctx, to, first) })
+		wg.Go(func() { h.sendTo(ctx, to, first) })
 	}
 	if h.Instances != nil {
 		first := time.Duration(h.Rand.Int64N(int64(listInterval)))
-		wg.Go(func() { h.readList(ctx, first) })
+		wg.Go(func() { h.pollList(ctx, first) })
 	}
 	for sleep(ctx, tick) {
 		h.Table.Tick(time.Now())
-		h.judge()
+		h.updateStates()
 	}
 	return ctx.Err()
 }
 
-// beatTo sends beats to one entry. A slow answer doesn't hold up the next beat.
-func (h *Heartbeat) beatTo(ctx context.Context, to id.Instance, first time.Duration) {
+// sendTo sends heartbeats to one entry. A slow answer doesn't delay the next
+// heartbeat, unless inFlight of them are unanswered.
+func (h *Heartbeat) sendTo(ctx context.Context, to id.Instance, first time.Duration) {
 	slots := make(chan struct{}, inFlight)
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -111,53 +113,53 @@
 		return
 	}
 	if answer.Check() == nil && answer.Instance == to {
-		h.take(&answer, true, time.Since(sent))
+		h.apply(&answer, true, time.Since(sent))
 	}
 }
 
 func (h *Heartbeat) handle(_ context.Context, from peer.Sender, params json.RawMessage) (any, error) {
 	var b Beat
 	if err := json.Unmarshal(params, &b); err != nil {
-		return nil, eris.Wrap(err, "decode beat")
+		return nil, eris.Wrap(err, "decode heartbeat")
 	}
 	if err := b.Check(); err != nil {
 		return nil, err
 	}
 	if b.Instance != from.Instance || b.Incarnation != from.Incarnation {
-		return nil, eris.Errorf("beat of %s on a connection of %s", b.Instance, from.Instance)
+		return nil, eris.Errorf("heartbeat of %s on a connection of %s", b.Instance, from.Instance)
 	}
-	h.take(&b, false, 0)
+	h.apply(&b, false, 0)
 	return h.Table.Beat(time.Now(), h.Incarnation, h.Own()), nil
 }
 
-func (h *Heartbeat) take(b *Beat, answer bool, elapsed time.Duration) {
-	if h.Table.Take(time.Now(), b, answer, elapsed) && h.Took != nil {
-		h.Took(b)
+func (h *Heartbeat) apply(b *Beat, answer bool, elapsed time.Duration) {
+	if h.Table.Take(time.Now(), b, answer, elapsed) && h.Applied != nil {
+		h.Applied(b)
 	}
 }
 
-// readList reads the platform's list now and then.
-func (h *Heartbeat) readList(ctx context.Context, first time.Duration) {
+// pollList reads the platform's list at regular intervals.
+func (h *Heartbeat) pollList(ctx context.Context, first time.Duration) {
 	for wait := first; sleep(ctx, wait); wait = listInterval {
 		if all, err := h.Instances.List(ctx); err == nil {
-			h.Table.List(all)
+			h.Table.ApplyList(all)
 		}
 	}
 }
 
-// judge tells of states that have changed.
-func (h *Heartbeat) judge() {
+// updateStates logs the states that have changed and calls Changed.
+func (h *Heartbeat) updateStates() {
 	now := time.Now()
 	changed := false
 	h.mu.Lock()
-	if h.known == nil {
-		h.known = map[id.Instance]lookup.State{}
+	if h.states == nil {
+		h.states = map[id.Instance]lookup.State{}
 	}
 	for _, name := range h.Entries {
 		m := h.Table.Member(name, now)
 		state := m.Lookup()
-		if old, ok := h.known[name]; !ok || old != state {
-			h.known[name], changed = state, true
+		if old, ok := h.states[name]; !ok || old != state {
+			h.states[name], changed = state, true
 			h.Log.Info("member", "member", name, "state", state, "incarnation", m.Incarnation, "silence", m.Silence, "listed", m.Listed)
 		}
 	}
@@ -167,7 +169,7 @@
 	}
 }
 
-// sleep waits; it is false if ctx ended first.
+// sleep waits for d and returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -69,14 +69,14 @@
 	go func() { _ = h.Run(ctx) }()
 }
 
-// state returns what entry i thinks of entry j.
+// state returns the state of entry j in the table of entry i.
 func (f *fleet) state(i, j int) lookup.State {
 	m := f.processes[i].table.Member(name(j), time.Now())
 	return m.Lookup()
 }
 
-// count returns how many pairs of entries are in the state, of those to which
-// pick applies.
+// count returns the number of pairs of entries (i, j) selected by pick for which
+// entry j has the state want in the table of entry i.
 func (f *fleet) count(want lookup.State, pick func(i, j int) bool) int {
 	n := 0
 	for i := range entries {
@@ -91,7 +91,7 @@
 
 func all(int, int) bool { return true }
 
-func bubble(t *testing.T, test func(is *is.I, ctx context.Context, f *fleet)) {
+func runFleet(t *testing.T, test func(is *is.I, ctx context.Context, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := start(ctx)
@@ -105,9 +105,10 @@
 	})
 }
 
-// The pauses are of one entry at a time, 1 s long, every 5 s.
-func TestNobodyIsLostByLossAndShortPauses(t *testing.T) {
-	bubble(t, func(is *is.I, _ context.Context, f *fleet) {
+// 10% of the messages and 10% of the answers are lost, and one entry at a time
+// pauses for 1 s every 5 s.
+func TestMessageLossAndShortPausesMarkNoEntryDown(t *testing.T) {
+	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		r, pick := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(1, 2))
 		f.network.SetHook(func(peers.Message) peers.Fate {
 			return peers.Fate{Lost: r.IntN(10) == 0, AnswerLost: r.IntN(10) == 0, Delay: 12 * time.Millisecond}
@@ -128,8 +129,8 @@
 	})
 }
 
-func TestDeadEntryIsLostToAllWithin3Seconds(t *testing.T) {
-	bubble(t, func(is *is.I, ctx context.Context, f *fleet) {
+func TestStoppedEntryIsDownEverywhereWithin3Seconds(t *testing.T) {
+	runFleet(t, func(is *is.I, ctx context.Context, f *fleet) {
 		r, wait := rand.New(rand.NewPCG(2, 1)), rand.New(rand.NewPCG(2, 2))
 		f.network.SetHook(func(peers.Message) peers.Fate {
 			return peers.Fate{Lost: r.IntN(5) == 0, Delay: 12 * time.Millisecond}
@@ -149,8 +150,8 @@
 	})
 }
 
-func TestPausedEntryComesBackByItself(t *testing.T) {
-	bubble(t, func(is *is.I, _ context.Context, f *fleet) {
+func TestPausedEntryIsLiveAgainAfterResume(t *testing.T) {
+	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		f.processes[2].node.Pause()
 		time.Sleep(20 * time.Second)
 		is.Equal(f.count(lookup.Down, func(_, b int) bool { return b == 2 }), entries-1)
@@ -160,18 +161,18 @@
 	})
 }
 
-func TestHalfOpenCut(t *testing.T) {
-	bubble(t, func(is *is.I, _ context.Context, f *fleet) {
-		// entry-2 doesn't hear entry-1; entry-1 hears entry-2.
+func TestOneWayLossBetweenTwoEntriesKeepsBothLive(t *testing.T) {
+	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
+		// entry-2 receives nothing from entry-1; entry-1 receives from entry-2.
 		f.network.SetHook(func(m peers.Message) peers.Fate {
 			return peers.Fate{Lost: m.From == name(0) && m.To == name(1), AnswerLost: m.From == name(1) && m.To == name(0)}
 		})
 		time.Sleep(20 * time.Second)
-		is.Equal(f.count(lookup.Live, all), entries*(entries-1)) // others vouch for both
+		is.Equal(f.count(lookup.Live, all), entries*(entries-1)) // relayed reports keep both live
 		first := f.processes[0].table.Member(name(1), time.Now())
 		second := f.processes[1].table.Member(name(0), time.Now())
-		is.True(first.Direct && !first.Mutual) // heard, but doesn't hear us
-		is.True(second.Heard && !second.Direct && !second.Mutual)
+		is.True(first.Direct && !first.Mutual) // entry-2 is received, but doesn't receive entry-1
+		is.True(second.Alive && !second.Direct && !second.Mutual)
 		f.network.SetHook(nil)
 		time.Sleep(2 * time.Second)
 		first = f.processes[0].table.Member(name(1), time.Now())
@@ -179,8 +180,8 @@
 	})
 }
 
-func TestRegionsCut(t *testing.T) {
-	bubble(t, func(is *is.I, _ context.Context, f *fleet) {
+func TestPartitionMarksOtherSideDown(t *testing.T) {
+	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		side := func(i id.Instance) bool { return i <= name(2) }
 		f.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: side(m.From) != side(m.To)} })
 		time.Sleep(20 * time.Second)
@@ -206,17 +207,17 @@
 		version id.Version
 		want    lookup.State
 	}{
-		"never heard, too early":     {want: lookup.Doubtful},
-		"never heard":                {after: 3 * time.Second, want: lookup.Down},
-		"heard":                      {give: []*membership.Beat{beat(1, 4)}, version: 4, want: lookup.Live},
-		"without a configuration":    {give: []*membership.Beat{beat(1, 0)}, want: lookup.Doubtful},
-		"starting":                   {give: []*membership.Beat{{Instance: "entry-2", Incarnation: 1, Own: membership.Own{Config: config.Ref{Version: 4}, Starting: true}}}, version: 4, want: lookup.Doubtful},
-		"replaced":                   {give: []*membership.Beat{beat(1, 4), beat(2, 5)}, version: 5, want: lookup.Live},
-		"old process speaks late":    {give: []*membership.Beat{beat(2, 5), beat(1, 4)}, version: 5, want: lookup.Live},
-		"silent":                     {give: []*membership.Beat{beat(1, 4)}, after: 2500 * time.Millisecond, version: 4, want: lookup.Down},
-		"platform says leaving":      {give: []*membership.Beat{beat(1, 4)}, listed: instances.Leaving, version: 4, want: lookup.Leaving},
-		"platform says gone, heard":  {give: []*membership.Beat{beat(1, 4)}, listed: instances.Gone, version: 4, want: lookup.Doubtful},
-		"platform says live, silent": {give: []*membership.Beat{beat(1, 4)}, listed: instances.Live, after: time.Minute, version: 4, want: lookup.Down},
+		"no heartbeat, within Timeout":           {want: lookup.Doubtful},
+		"no heartbeat":                           {after: 3 * time.Second, want: lookup.Down},
+		"heartbeat received":                     {give: []*membership.Beat{beat(1, 4)}, version: 4, want: lookup.Live},
+		"without a configuration":                {give: []*membership.Beat{beat(1, 0)}, want: lookup.Doubtful},
+		"starting":                               {give: []*membership.Beat{{Instance: "entry-2", Incarnation: 1, Own: membership.Own{Config: config.Ref{Version: 4}, Starting: true}}}, version: 4, want: lookup.Doubtful},
+		"replaced":                               {give: []*membership.Beat{beat(1, 4), beat(2, 5)}, version: 5, want: lookup.Live},
+		"late heartbeat of the replaced process": {give: []*membership.Beat{beat(2, 5), beat(1, 4)}, version: 5, want: lookup.Live},
+		"silent":                                 {give: []*membership.Beat{beat(1, 4)}, after: 2500 * time.Millisecond, version: 4, want: lookup.Down},
+		"listed as leaving":                      {give: []*membership.Beat{beat(1, 4)}, listed: instances.Leaving, version: 4, want: lookup.Leaving},
+		"listed as gone, heartbeat received":     {give: []*membership.Beat{beat(1, 4)}, listed: instances.Gone, version: 4, want: lookup.Doubtful},
+		"listed as live, silent":                 {give: []*membership.Beat{beat(1, 4)}, listed: instances.Live, after: time.Minute, version: 4, want: lookup.Down},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -227,7 +228,7 @@
 				table.Take(now, b, false, 0)
 			}
 			if tt.listed != "" {
-				table.List([]instances.Instance{{Name: "entry-2", State: tt.listed}})
+				table.ApplyList([]instances.Instance{{Name: "entry-2", State: tt.listed}})
 			}
 			m := table.Member("entry-2", now.Add(tt.after))
 			is.Equal(m.Lookup(), tt.want)
@@ -236,7 +237,7 @@
 	}
 }
 
-func TestOwnPauseIsNotHeldAgainstOthers(t *testing.T) {
+func TestPauseOfThisProcessDoesNotCountAsSilence(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	table := membership.Table{Self: "entry-1"}
@@ -254,7 +255,7 @@
 	is.Equal(m.Lookup(), lookup.Down)
 }
 
-func TestBeatToNamesTheReceiverAlone(t *testing.T) {
+func TestBeatToListsOnlyReceiver(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	a, b := &membership.Table{Self: "a"}, &membership.Table{Self: "b"}
@@ -268,7 +269,7 @@
 
 	is.True(b.Take(now, &beat, false, 0))
 	m := b.Member("a", now)
-	is.True(m.Mutual) // b knows that a hears it
+	is.True(m.Mutual) // a reported that it receives the heartbeats of b
 	late := now.Add(membership.Timeout)
 	is.Equal(len(a.BeatTo("b", late, 1, membership.Own{}).Heard), 0)
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,18 +10,18 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Timeout is how long an entry may be silent before it counts as dead.
+// Timeout is the time without a heartbeat after which an entry is down.
 const Timeout = 2500 * time.Millisecond
 
-// ownPause is the shortest gap between ticks that counts as a pause of the own
+// minPause is the shortest gap between ticks that counts as a pause of this
 // process.
-const ownPause = time.Second
+const minPause = time.Second
 
 type (
-	// Table holds what is known of the other entries. Its exported fields must
-	// not change after the first call. It is safe for concurrent use.
+	// Table holds the state of the other entries. Its exported fields must not
+	// change after the first call. It is safe for concurrent use.
 	Table struct {
-		// Self is this entry.
+		// Self is the name of this entry.
 		Self id.Instance
 
 		mu     sync.Mutex
@@ -30,51 +30,56 @@
 		peers  map[id.Instance]*peerState
 	}
 
-	// Member is what is known of one other entry at one time.
+	// Member is the state of another entry at one time.
 	Member struct {
-		// Instance is the entry.
+		// Instance is the entry's name.
 		Instance id.Instance
-		// Incarnation is that of its latest process, 0 if none was heard.
+		// Incarnation is that of its latest known process, 0 if there is
+		// none.
 		Incarnation id.Incarnation
-		// Own is what it last said of itself.
+		// Own is the state that it last reported of itself.
 		Own Own
-		// Heard tells that it was heard within Timeout, directly or by a third
-		// entry.
-		Heard bool
-		// Direct tells that it was heard directly within Timeout.
+		// Alive reports whether a heartbeat of it was received within Timeout,
+		// directly or according to a relayed report.
+		Alive bool
+		// Direct reports whether a heartbeat was received directly within
+		// Timeout.
 		Direct bool
-		// Mutual tells that it was heard directly and lately heard this entry.
+		// Mutual reports whether heartbeats pass in both directions: Direct
+		// holds, and it received a heartbeat of this entry within Timeout.
 		Mutual bool
-		// Silence is the time since it was heard, or since the table's first
-		// tick if it never was.
+		// Silence is the time since its last heartbeat, or since the table's
+		// first tick if there was none.
 		Silence time.Duration
-		// Listed is the platform's word on it, empty if there is none.
+		// Listed is its state in the platform's list, empty if it was never
+		// listed.
 		Listed instances.State
-		// New tells that there was no time yet to hear it.
+		// New reports whether no heartbeat of it is known yet and Timeout has
+		// not passed since the table's first tick.
 		New bool
 	}
 
 	peerState struct {
 		incarnation id.Incarnation
 		own         Own
-		direct      time.Time
-		indirect    time.Time
-		hearsUs     time.Time
+		lastDirect  time.Time
+		lastRelayed time.Time
+		lastAcked   time.Time
 		listed      instances.State
 		started     time.Time
 	}
 )
 
-// Tick notes that the own process runs. It must be called several times a
-// second. A gap counts as a pause of the own process, in which nobody could
-// be heard.
+// Tick records that this process is running. It must be called several times a
+// second. A gap of a second or more counts as a pause of this process, during
+// which no heartbeat could be received.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.began.IsZero() {
 		t.began, t.ticked = now, now
 	}
-	if gap := now.Sub(t.ticked); gap >= ownPause {
+	if gap := now.Sub(t.ticked); gap >= minPause {
 		t.began = t.began.Add(gap)
 		for _, p := range t.peers {
 			p.shift(gap)
@@ -83,9 +88,10 @@
 	t.ticked = now
 }
 
-// Take takes in a beat that came now, after an exchange that took elapsed. The
-// reports of third entries count only in answers, whose age is bounded by
-// elapsed. It returns false for a beat of an older incarnation.
+// Take applies a heartbeat received at now, after an exchange that took elapsed.
+// Reports on third entries are applied only from answers, whose age is bounded
+// by elapsed. Take returns false for a heartbeat of an older incarnation, or of
+// this entry itself.
 func (t *Table) Take(now time.Time, b *Beat, answer bool, elapsed time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,21 +102,22 @@
 	if b.Incarnation > p.incarnation {
 		*p = peerState{incarnation: b.Incarnation, listed: p.listed, started: p.started}
 	}
-	p.own, p.direct = b.Own, now
+	p.own, p.lastDirect = b.Own, now
 	for _, h := range b.Heard {
 		at := now.Add(-elapsed - h.Age.Std())
 		switch {
 		case h.Instance == t.Self:
-			p.hearsUs = later(p.hearsUs, at)
+			p.lastAcked = later(p.lastAcked, at)
 		case answer:
-			t.hearsay(&h, at)
+			t.applyRelayed(&h, at)
 		}
 	}
 	return true
 }
 
-// hearsay takes in that a third entry was heard at a time.
-func (t *Table) hearsay(h *Heard, at time.Time) {
+// applyRelayed applies a report that another entry received a heartbeat of a
+// third one at the given time.
+func (t *Table) applyRelayed(h *Heard, at time.Time) {
 	p := t.peer(h.Instance)
 	switch {
 	case h.Incarnation < p.incarnation:
@@ -118,17 +125,17 @@
 	case h.Incarnation > p.incarnation:
 		*p = peerState{incarnation: h.Incarnation, listed: p.listed, started: p.started}
 	}
-	if at.After(p.indirect) {
-		p.indirect = at
-		if at.After(p.direct) {
+	if at.After(p.lastRelayed) {
+		p.lastRelayed = at
+		if at.After(p.lastDirect) {
 			p.own.Leaving = h.Leaving
 		}
 	}
 }
 
-// List takes in the platform's list. An instance that is not in it keeps the
-// word it had.
-func (t *Table) List(all []instances.Instance) {
+// ApplyList applies the platform's list. An instance that is not in it keeps
+// its last listed state.
+func (t *Table) ApplyList(all []instances.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, i := range all {
@@ -139,8 +146,9 @@
 	}
 }
 
-// BeatTo returns this entry's beat to one other entry. It lists only whether
-// that one was heard: whoever gets a beat that is no answer goes by no more.
+// BeatTo returns this entry's heartbeat to another entry. It lists only the
+// receiver, since the receiver of a heartbeat that is not an answer ignores all
+// other reports.
 func (t *Table) BeatTo(to id.Instance, now time.Time, incarnation id.Incarnation, own Own) Beat {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +159,7 @@
 	return b
 }
 
-// Beat returns this entry's answer to a beat.
+// Beat returns this entry's answer to a heartbeat.
 func (t *Table) Beat(now time.Time, incarnation id.Incarnation, own Own) Beat {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,29 +170,29 @@
 	return b
 }
 
-// Member returns what is known of an entry at now.
+// Member returns the state of an entry at now.
 func (t *Table) Member(name id.Instance, now time.Time) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peer(name)
-	last := later(later(p.direct, p.indirect), t.began)
+	last := later(later(p.lastDirect, p.lastRelayed), t.began)
 	m := Member{Instance: name, Incarnation: p.incarnation, Own: p.own, Listed: p.listed, Silence: now.Sub(last)}
-	m.Direct = within(p.direct, now)
-	m.Heard = m.Direct || within(p.indirect, now)
-	m.Mutual = m.Direct && within(p.hearsUs, now)
-	m.New = !m.Heard && p.incarnation == 0 && m.Silence <= Timeout
+	m.Direct = within(p.lastDirect, now)
+	m.Alive = m.Direct || within(p.lastRelayed, now)
+	m.Mutual = m.Direct && within(p.lastAcked, now)
+	m.New = !m.Alive && p.incarnation == 0 && m.Silence <= Timeout
 	return m
 }
 
-// Lookup returns the state of the entry for look-ups: the worse of what its
-// beats and the platform's list say.
+// Lookup returns the state of the entry for lookups: the worse of its states
+// according to the heartbeats and to the platform's list.
 func (m *Member) Lookup() lookup.State {
 	switch {
-	case m.Listed == instances.Gone && !m.Heard, !m.Heard && !m.New:
+	case m.Listed == instances.Gone && !m.Alive, !m.Alive && !m.New:
 		return lookup.Down
 	case m.Own.Leaving, m.Listed == instances.Leaving:
 		return lookup.Leaving
-	case !m.Heard, m.Own.Starting, m.Own.Config.Version == 0, m.Listed == instances.Gone:
+	case !m.Alive, m.Own.Starting, m.Own.Config.Version == 0, m.Listed == instances.Gone:
 		return lookup.Doubtful
 	default:
 		return lookup.Live
@@ -203,17 +211,19 @@
 	return p
 }
 
-// heard appends that the entry of the name was heard directly, if it was.
+// heard appends a report on the named entry if a heartbeat was received
+// directly from it within Timeout.
 func (p *peerState) heard(dst []Heard, name id.Instance, now time.Time) []Heard {
-	if !within(p.direct, now) {
+	if !within(p.lastDirect, now) {
 		return dst
 	}
-	return append(dst, Heard{Instance: name, Incarnation: p.incarnation, Age: unit.Duration(max(now.Sub(p.direct), 0)), Leaving: p.own.Leaving})
+	return append(dst, Heard{Instance: name, Incarnation: p.incarnation, Age: unit.Duration(max(now.Sub(p.lastDirect), 0)), Leaving: p.own.Leaving})
 }
 
-// shift moves what was heard by the length of a pause of the own process.
+// shift moves the times of the received heartbeats by the length of a pause of
+// this process.
 func (p *peerState) shift(gap time.Duration) {
-	for _, at := range []*time.Time{&p.direct, &p.indirect, &p.hearsUs} {
+	for _, at := range []*time.Time{&p.lastDirect, &p.lastRelayed, &p.lastAcked} {
 		if !at.IsZero() {
 			*at = at.Add(gap)
 		}
