--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -11,8 +11,8 @@
 	// Caller sends requests to other entries. It is safe for concurrent use.
 	Caller interface {
 		// Call sends params and decodes the answer into result, which may be
-		// nil. It returns an error when the peer can't be reached, refuses, or
-		// doesn't answer within ctx.
+		// nil. It returns an error if the peer is unreachable, rejects the
+		// request, or doesn't answer before ctx ends.
 		Call(ctx context.Context, to id.Instance, method string, params, result any) error
 	}
 
@@ -20,7 +20,7 @@
 	Sender struct {
 		// Instance is the sender's name.
 		Instance id.Instance `json:"instance"`
-		// Incarnation tells it from earlier processes on the instance.
+		// Incarnation distinguishes it from earlier processes of the instance.
 		Incarnation id.Incarnation `json:"incarnation"`
 	}
 
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -8,24 +8,24 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// detours is the number of entries that pass a message on to those that its
+// relays is the number of entries that forward a message to those that its
 // sender could not reach.
-const detours = 2
+const relays = 2
 
-// Spread sends news to all of the others at the same time, and by way of two of
-// those that confirmed it to those that did not. message makes the news, with
-// the entries that its receiver is to pass it on to. Each of the two steps takes
-// at most limit. Spread returns the entries that did not confirm directly.
+// Spread sends an update to all others in parallel, and then through up to two
+// of those that confirmed it to those that did not. message returns the update,
+// with the entries to which its receiver is to forward it. Each of the two steps
+// takes at most limit. Spread returns the entries that did not confirm directly.
 func Spread(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, message func(tell []id.Instance) any) []id.Instance {
 	told, missed := Tell(ctx, c, limit, others, method, message(nil))
 	if len(missed) > 0 {
-		Tell(ctx, c, limit, told[:min(len(told), detours)], method, message(missed))
+		Tell(ctx, c, limit, told[:min(len(told), relays)], method, message(missed))
 	}
 	return missed
 }
 
-// Tell sends params to all of the others at the same time, for at most limit,
-// and returns who confirmed them and who did not.
+// Tell sends params to all others in parallel, for at most limit, and returns
+// the entries that confirmed them and those that did not.
 func Tell(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, params any) (told, missed []id.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
