--- a/internal/peer/rpc/bench_test.go
+++ b/internal/peer/rpc/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// BenchmarkCall measures one call and its answer over loopback.
+// BenchmarkCall measures a call with its answer over loopback TCP.
 func BenchmarkCall(b *testing.B) {
 	for _, size := range []int{300, 10_000} {
 		b.Run(fmt.Sprintf("message=%d", size), func(b *testing.B) {
--- a/internal/peer/rpc/codec.go
+++ b/internal/peer/rpc/codec.go
@@ -13,7 +13,7 @@
 // MaxMessage is the largest message between entries, in bytes.
 const MaxMessage = 8 << 20
 
-// codec is jsonrpc2's varint codec with a bound on what is read.
+// codec is jsonrpc2's varint codec with a limit on the size of a message read.
 type codec struct{ jsonrpc2.VarintObjectCodec }
 
 // ReadObject reads the next message into v.
@@ -23,7 +23,7 @@
 		return err
 	}
 	if size > MaxMessage {
-		return eris.Errorf("message of %d bytes is over the limit", size)
+		return eris.Errorf("message of %d bytes exceeds the limit", size)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -21,13 +21,14 @@
 )
 
 type (
-	// meter counts the reads of a connection and bounds its writes in time.
+	// meter counts the reads of a connection and sets a deadline for each of
+	// its writes.
 	meter struct {
 		net.Conn
 		reads atomic.Int64
 	}
 
-	// link is a dialled connection.
+	// link is a connection dialled by this node.
 	link struct {
 		conn  *jsonrpc2.Conn
 		meter *meter
@@ -39,15 +40,15 @@
 		err    error
 	}
 
-	// hello is the first message of a connection, and its answer.
+	// hello is the first request of a connection, and the answer to it.
 	hello struct {
 		From peer.Sender `json:"from"`
 	}
 
-	noRequests struct{}
+	rejectRequests struct{}
 )
 
-// Read counts the read.
+// Read counts a read that returns data.
 func (m *meter) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
 	if n > 0 {
@@ -56,7 +57,7 @@
 	return n, err
 }
 
-// Write fails if the bytes can't be written in time.
+// Write fails if p can't be written within writeTimeout.
 func (m *meter) Write(p []byte) (int, error) {
 	if err := m.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
@@ -71,7 +72,7 @@
 	return jsonrpc2.NewConn(context.Background(), stream, h, quiet), m
 }
 
-func (l *link) dead() bool {
+func (l *link) closed() bool {
 	select {
 	case <-l.conn.DisconnectNotify():
 		return true
@@ -80,7 +81,8 @@
 	}
 }
 
-// call waits for the answer until ctx ends, also when writing is stuck.
+// call sends a request and waits for its answer until ctx ends, even if the
+// write blocks.
 func (l *link) call(ctx context.Context, method string, params any) (json.RawMessage, error) {
 	before := l.meter.reads.Load()
 	done := make(chan reply, 1)
@@ -91,30 +93,31 @@
 	}()
 	select {
 	case r := <-done:
-		if r.err == nil && l.dead() {
-			return nil, eris.New("connection dropped")
+		if r.err == nil && l.closed() {
+			return nil, eris.New("connection closed")
 		}
 		if ctx.Err() != nil {
-			l.judge(ctx, before)
+			l.closeIfStalled(ctx, before)
 		}
 		return r.result, r.err
 	case <-ctx.Done():
-		l.judge(ctx, before)
+		l.closeIfStalled(ctx, before)
 		return nil, ctx.Err()
 	}
 }
 
-// judge drops the connection if nothing was read on it during a call that
-// timed out. A call that its caller gave up says nothing.
-func (l *link) judge(ctx context.Context, before int64) {
+// closeIfStalled closes the connection if nothing was read on it during a call
+// that timed out. A call that its caller cancelled is no evidence of a stalled
+// connection.
+func (l *link) closeIfStalled(ctx context.Context, before int64) {
 	if eris.Is(ctx.Err(), context.DeadlineExceeded) && l.meter.reads.Load() == before {
 		_ = l.conn.Close()
 	}
 }
 
-// Handle refuses requests on a connection that this end dialled.
-func (noRequests) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+// Handle rejects requests on a connection that this end dialled.
+func (rejectRequests) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if !r.Notif {
-		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "wrong direction"})
+		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "requests are accepted only from the end that dialled"})
 	}
 }
--- a/internal/peer/rpc/node.go
+++ b/internal/peer/rpc/node.go
@@ -21,17 +21,17 @@
 )
 
 type (
-	// Node is this entry's end of the talk between entries. Its fields must
-	// not change after the first call. It is safe for concurrent use.
+	// Node is both client and server of the calls between entries. Its fields
+	// must not change after the first call. It is safe for concurrent use.
 	Node struct {
-		// Self names this process.
+		// Self identifies this process.
 		Self peer.Sender
 		// Dial connects to a peer.
 		Dial func(ctx context.Context, to id.Instance) (net.Conn, error)
-		// Timeout bounds a dial with its hello, and a call whose context has
-		// no deadline; 0 means 1 s.
+		// Timeout limits a dial including its hello, and a call whose context
+		// has no deadline; 0 means 1 s.
 		Timeout time.Duration
-		// HandlerTimeout bounds a handler; 0 means 10 s.
+		// HandlerTimeout limits the run time of a handler; 0 means 10 s.
 		HandlerTimeout time.Duration
 
 		mu       sync.Mutex
@@ -41,21 +41,20 @@
 		closed   bool
 	}
 
-	// remote is what a node keeps of a peer.
+	// remote is the state of the connection to a peer.
 	remote struct {
 		mu      sync.Mutex
 		link    *link
 		dialing chan struct{}
 		backoff time.Duration
-		notYet  time.Time
+		retryAt time.Time
 		err     error
 	}
 )
 
 var _ peer.Caller = (*Node)(nil)
 
-// Register lets handler answer the method. A later handler for the method
-// replaces it.
+// Register sets the handler of a method, replacing an earlier one.
 func (n *Node) Register(method string, handler peer.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,20 +86,20 @@
 	return eris.Wrapf(json.Unmarshal(answer, result), "answer to %s from %s", method, to)
 }
 
-// Drop closes the connection to a peer, so that the next call dials anew at
-// once.
+// Drop closes the connection to a peer and resets its backoff, so that the next
+// call dials immediately.
 func (n *Node) Drop(to id.Instance) {
 	r := n.remote(to)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notYet, r.backoff = time.Time{}, 0
+	r.retryAt, r.backoff = time.Time{}, 0
 	if r.link != nil {
 		_ = r.link.conn.Close()
 		r.link = nil
 	}
 }
 
-// Close closes all connections. The node must not be used after it.
+// Close closes all connections. The node must not be used afterwards.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -133,19 +132,19 @@
 	return r
 }
 
-// connect returns the peer's connection, dialling if there is none. Callers
-// share one dial.
+// connect returns the connection to a peer, dialling if there is none.
+// Concurrent calls share one dial.
 func (n *Node) connect(ctx context.Context, to id.Instance) (*link, error) {
 	r := n.remote(to)
 	r.mu.Lock()
-	if r.link != nil && !r.link.dead() {
+	if r.link != nil && !r.link.closed() {
 		defer r.mu.Unlock()
 		return r.link, nil
 	}
 	if r.dialing == nil {
-		if wait := time.Until(r.notYet); wait > 0 {
+		if wait := time.Until(r.retryAt); wait > 0 {
 			defer r.mu.Unlock()
-			return nil, eris.Wrapf(r.err, "not tried again for %s", wait)
+			return nil, eris.Wrapf(r.err, "next dial in %s", wait)
 		}
 		r.dialing = make(chan struct{})
 		go n.dial(r, to)
@@ -168,7 +167,7 @@
 func (n *Node) dial(r *remote, to id.Instance) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.timeout())
 	defer cancel()
-	l, err := n.greet(ctx, to)
+	l, err := n.handshake(ctx, to)
 	n.mu.Lock()
 	closed := n.closed
 	n.mu.Unlock()
@@ -186,16 +185,16 @@
 		return
 	}
 	r.backoff = min(max(2*r.backoff, minBackoff), maxBackoff)
-	r.notYet = time.Now().Add(jitter(r.backoff))
+	r.retryAt = time.Now().Add(jitter(r.backoff))
 }
 
-func (n *Node) greet(ctx context.Context, to id.Instance) (*link, error) {
+func (n *Node) handshake(ctx context.Context, to id.Instance) (*link, error) {
 	c, err := n.Dial(ctx, to)
 	if err != nil {
 		return nil, err
 	}
 	l := new(link)
-	l.conn, l.meter = newConn(c, noRequests{})
+	l.conn, l.meter = newConn(c, rejectRequests{})
 	answer, err := l.call(ctx, helloMethod, hello{From: n.Self})
 	if err != nil {
 		_ = l.conn.Close()
@@ -208,7 +207,7 @@
 	}
 	if h.From.Instance != to {
 		_ = l.conn.Close()
-		return nil, eris.Errorf("reached %s instead of %s", h.From.Instance, to)
+		return nil, eris.Errorf("connected to %s instead of %s", h.From.Instance, to)
 	}
 	l.peer = h.From
 	return l, nil
--- a/internal/peer/rpc/node_test.go
+++ b/internal/peer/rpc/node_test.go
@@ -18,20 +18,21 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// cut swallows what is written to it, without closing, once it is silent.
-type cut struct {
+// muteConn discards all writes, without an error, while silent is set.
+type muteConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-func (c cut) Write(p []byte) (int, error) {
+func (c muteConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-type world struct {
+// fixture is a node a that dials a node b.
+type fixture struct {
 	a, b   *rpc.Node
 	dials  int
 	down   bool
@@ -39,8 +40,8 @@
 	silent *atomic.Bool
 }
 
-func newWorld(ctx context.Context) *world {
-	w := &world{}
+func newFixture(ctx context.Context) *fixture {
+	w := &fixture{}
 	w.b = &rpc.Node{Self: peer.Sender{Instance: "b", Incarnation: 2}}
 	w.b.Register("echo", func(_ context.Context, from peer.Sender, params json.RawMessage) (any, error) {
 		return map[string]any{"from": from, "params": params}, nil
@@ -60,25 +61,25 @@
 		}
 		near, far := net.Pipe()
 		if w.stuck {
-			return near, nil // nothing reads at the far end
+			return near, nil // nothing reads from the far end
 		}
 		w.silent = new(atomic.Bool)
-		go w.b.ServeConn(ctx, cut{far, w.silent})
+		go w.b.ServeConn(ctx, muteConn{far, w.silent})
 		return near, nil
 	}
 	return w
 }
 
-func (w *world) call(t *testing.T, to id.Instance, method string) error {
+func (w *fixture) call(t *testing.T, to id.Instance, method string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	return w.a.Call(ctx, to, method, map[string]int{"x": 1}, nil)
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, w *world)) {
+func runFixture(t *testing.T, f func(t *testing.T, w *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(ctx)
+		w := newFixture(ctx)
 		f(t, w)
 		w.a.Close()
 		w.b.Close()
@@ -86,8 +87,8 @@
 	})
 }
 
-func TestCallCarriesTheSender(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestCallIdentifiesSender(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		var got struct {
 			From   peer.Sender
@@ -100,18 +101,18 @@
 		is.True(errors.As(w.call(t, "b", "fail"), &e))
 		is.True(errors.As(w.call(t, "b", "unknown"), &e))
 		is.Equal(e.Code, int64(jsonrpc2.CodeMethodNotFound))
-		is.Equal(w.dials, 1) // all over one connection
+		is.Equal(w.dials, 1) // all calls share one connection
 	})
 }
 
-func TestWrongInstanceIsRefused(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestConnectionToWrongInstanceIsRejected(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is.New(t).True(w.call(t, "c", "echo") != nil)
 	})
 }
 
-func TestSilentConnectionIsReplaced(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestStalledConnectionIsReplaced(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		is.NoErr(w.call(t, "b", "echo"))
 		w.silent.Store(true)
@@ -121,8 +122,8 @@
 	})
 }
 
-func TestSlowHandlerDoesNotCostALivelyConnection(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestTimeoutOfSlowHandlerKeepsActiveConnection(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		slow := make(chan error)
 		is.NoErr(w.call(t, "b", "echo"))
@@ -132,12 +133,12 @@
 		is.True(<-slow != nil)
 		is.NoErr(w.call(t, "b", "echo"))
 		is.Equal(w.dials, 1)
-		time.Sleep(10 * time.Second) // the late answer has no waiter
+		time.Sleep(10 * time.Second) // the late answer arrives after its call timed out
 	})
 }
 
-func TestStuckWriteEndsWithTheCall(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestBlockedWriteEndsAtCallDeadline(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		w.stuck = true
 		start := time.Now()
@@ -146,8 +147,8 @@
 	})
 }
 
-func TestFailedDialsBackOff(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+func TestFailedDialsAreRetriedWithBackoff(t *testing.T) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		w.down = true
 		for range 600 { // for a minute
@@ -162,7 +163,7 @@
 }
 
 func TestConnectionWithoutHelloIsClosed(t *testing.T) {
-	inBubble(t, func(t *testing.T, w *world) {
+	runFixture(t, func(t *testing.T, w *fixture) {
 		is := is.New(t)
 		near, far := net.Pipe()
 		go w.b.ServeConn(t.Context(), far)
--- a/internal/peer/rpc/serve.go
+++ b/internal/peer/rpc/serve.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// ServeConn answers the requests of one connection until it ends or ctx does.
+// ServeConn answers the requests of one connection until it closes or ctx ends.
 func (n *Node) ServeConn(ctx context.Context, c net.Conn) {
 	if !n.track(c) {
 		_ = c.Close()
@@ -55,7 +55,7 @@
 	}
 	defer n.untrack(c)
 	s := &server{node: n, net: c, running: make(chan struct{}, maxRunning)}
-	_ = c.SetReadDeadline(time.Now().Add(n.timeout())) // until the hello
+	_ = c.SetReadDeadline(time.Now().Add(n.timeout())) // removed after the hello
 	conn, _ := newConn(c, s)
 	select {
 	case <-conn.DisconnectNotify():
@@ -67,7 +67,7 @@
 // Handle answers one request. jsonrpc2 calls it for one request at a time.
 func (s *server) Handle(_ context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if s.from.Instance == "" {
-		s.greet(c, r)
+		s.handshake(c, r)
 		return
 	}
 	select {
@@ -83,7 +83,7 @@
 	}()
 }
 
-func (s *server) greet(c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+func (s *server) handshake(c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	var h hello
 	if r.Method != helloMethod || r.Params == nil || json.Unmarshal(*r.Params, &h) != nil || h.From.Instance == "" {
 		respond(c, r, nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidRequest, Message: "a connection begins with a hello"})
