--- a/internal/lookup/builder.go
+++ b/internal/lookup/builder.go
@@ -13,12 +13,12 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Builder makes a Table from nothing. Its fields may be changed between
-// builds; a built table doesn't see the changes.
+// Builder builds a Table. Its fields may be changed between builds without
+// affecting tables built before.
 type Builder struct {
-	// Sites lists the sites; a choice names one by its index here.
+	// Sites lists the sites; a choice refers to a site by its index here.
 	Sites []Site
-	// States holds the state of each site; sites past its end are doubtful.
+	// States holds the state of each site; a site beyond its end is doubtful.
 	States []State
 	// Blocks lists the client blocks.
 	Blocks []Block
@@ -29,9 +29,9 @@
 }
 
 // Near returns a builder for a deployment without client blocks. Its default
-// route holds the sites of the region from in tier 0, and those of the other
-// regions by rising delay in the tiers after it. Entries that states doesn't
-// name are doubtful.
+// route contains the sites in the region from in tier 0, and those in the other
+// regions by increasing delay in the following tiers. Entries missing from
+// states are doubtful.
 func Near(d *deployment.Deployment, from id.Region, states map[id.Instance]State) *Builder {
 	b := new(Builder)
 	for _, e := range d.Entries {
@@ -48,10 +48,10 @@
 	return b
 }
 
-// Build checks the builder's fields and returns the table.
+// Build validates the builder's fields and returns the table.
 func (b *Builder) Build() (*Table, error) {
 	if len(b.Sites) == 0 || len(b.States) > len(b.Sites) {
-		return nil, eris.Errorf("%d sites and %d states", len(b.Sites), len(b.States))
+		return nil, eris.Errorf("%d sites and %d states, want at least one site and at most one state per site", len(b.Sites), len(b.States))
 	}
 	if err := checkRoute(b.Default, len(b.Sites)); err != nil {
 		return nil, eris.Wrap(err, "default route")
@@ -77,7 +77,8 @@
 	return t, nil
 }
 
-// intern returns one route for all equal lists of choices.
+// intern returns the same route for all equal lists of choices, to save memory.
+// It reuses key as a buffer.
 func intern(known map[string][]Choice, key []byte, choices []Choice) (route []Choice, nextKey []byte) {
 	key = key[:0]
 	for _, c := range choices {
@@ -93,7 +94,7 @@
 	return r, key
 }
 
-// nearest returns all sites with equal weights, a tier for each step of
+// nearest returns all sites with equal weights and one tier for each distinct
 // distance.
 func nearest(sites []Site, distance func(*Site) time.Duration) []Choice {
 	order := make([]uint32, len(sites))
--- a/internal/lookup/doc.go
+++ b/internal/lookup/doc.go
@@ -1,22 +1,22 @@
-// Package lookup answers which entries a caller should use.
+// Package lookup selects the entries that a caller should use.
 //
 // A [Table] maps client blocks, by longest matching prefix, to routes. A route
-// is an ordered list of choices: a caller uses the choices of the lowest tier,
-// shared out by weight, and the next tier only when those fail. A caller in no
-// block gets the default route: all sites, those of the answering entry's own
-// region first, since a caller of unknown place most likely asked the entry
-// nearest to it.
+// is an ordered list of choices: a caller distributes its requests over the
+// choices of the lowest tier by weight, and uses the next tier only when those
+// fail. A caller in no block gets the default route: all sites, those in the
+// answering entry's region first, since a caller at an unknown location most
+// likely asked the entry nearest to it.
 //
-// A table is immutable. Its owner keeps it behind an atomic pointer and
-// publishes a changed copy made by [Table.WithState], [Table.WithSite],
-// [Table.WithBlock] or [Table.WithoutBlock]; a copy shares all that did not
-// change. Look-ups that run meanwhile finish on the table that they began with.
+// A table is immutable. Its user keeps it behind an atomic pointer and replaces
+// it by a modified copy made by [Table.WithState], [Table.WithSite],
+// [Table.WithBlock] or [Table.WithoutBlock]; a copy shares all unchanged data.
+// Concurrent lookups finish on the table with which they began.
 //
 // A site that is [Leaving] or [Down] is in no answer. A site whose state is
 // unknown, because it is missing, stale or from the future, is [Doubtful]: it
-// is listed after all live ones of the same route, so that the loss of the
-// state's source empties no answer. When all choices of a block's route are
-// out, the default route answers.
+// is listed after all live sites of the same route, so that answers don't become
+// empty when the source of the states fails. If no choice of a block's route is
+// live or doubtful, the default route is used.
 //
 // # Usage
 //
--- a/internal/lookup/state.go
+++ b/internal/lookup/state.go
@@ -8,23 +8,24 @@
 
 // States of a site.
 const (
-	// Doubtful means that nothing certain is known of the site. It is the
-	// zero State.
+	// Doubtful means that the state of the site is unknown. It is the zero
+	// State.
 	Doubtful State = iota
-	// Live means that the site takes requests.
+	// Live means that the site accepts requests.
 	Live
-	// Leaving means that the site is about to stop.
+	// Leaving means that the site is shutting down.
 	Leaving
-	// Down means that the site is lost.
+	// Down means that the site has failed or stopped.
 	Down
 )
 
-// State tells whether callers may be sent to a site.
+// State determines whether callers may be directed to a site.
 type State uint8
 
-// Judge returns the state that a reported one stands for at now: Doubtful if
-// it is missing, older than limit, from the future, or not one of the states.
-func Judge(v measured.Value[State], now time.Time, limit time.Duration) State {
+// EffectiveState returns the state to use for a reported one at now: Doubtful if
+// the report is missing, older than limit, from the future, or not a valid
+// state.
+func EffectiveState(v measured.Value[State], now time.Time, limit time.Duration) State {
 	s, state := v.Read(now, limit)
 	if state != measured.Fresh || s > Down {
 		return Doubtful
--- a/internal/lookup/table.go
+++ b/internal/lookup/table.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// MaxChoices is the greatest number of choices in one answer.
+	// MaxChoices is the maximum number of choices in an answer.
 	MaxChoices = 16
-	// DefaultValidity is how long a caller may use an answer of a table that
-	// sets no validity of its own.
+	// DefaultValidity is how long a caller may use an answer of a table with
+	// no validity set.
 	DefaultValidity = 10 * time.Second
-	// doubtfulTier is added to the tier of doubtful choices, so that they come
-	// after all live ones.
+	// doubtfulTier is added to the tier of doubtful choices, so that they
+	// follow all live ones.
 	doubtfulTier = 128
 )
 
 type (
-	// Site is an entry instance that callers may be sent to.
+	// Site is an entry instance that callers may be directed to.
 	Site struct {
 		// Instance is the entry's name, unique in a table.
 		Instance id.Instance
-		// Zone is the availability zone that it stands in.
+		// Zone is its availability zone.
 		Zone id.Zone
 		// Region is the region of that zone.
 		Region id.Region
@@ -39,22 +39,22 @@
 	Choice struct {
 		// Site is the site's index in the table.
 		Site uint32
-		// Weight is the choice's share among those of its tier, above 0.
+		// Weight is the choice's relative weight in its tier, above 0.
 		Weight uint16
 		// Tier orders the choices; a lower tier is used first. Routes have
-		// tiers below 128; in answers doubtful choices have 128 added.
+		// tiers below 128; answers add 128 to the tier of doubtful choices.
 		Tier uint8
 	}
 
-	// Block gives the callers of a client block a route.
+	// Block assigns a route to the callers of a client block.
 	Block struct {
-		// Prefix holds the callers' addresses.
+		// Prefix contains the callers' addresses.
 		Prefix netip.Prefix
 		// Route is ordered by tier.
 		Route []Choice
 	}
 
-	// Table is an immutable look-up table, safe for concurrent use.
+	// Table is an immutable lookup table, safe for concurrent use.
 	Table struct {
 		sites    []Site
 		states   []State
@@ -64,10 +64,11 @@
 	}
 )
 
-// Lookup appends the choices for a caller to dst and returns it: at most
-// MaxChoices, live ones before doubtful ones, each by tier. It is empty only
-// if no site of the table is live or doubtful. It does not allocate if dst has
-// room for MaxChoices more.
+// Lookup appends the choices for a caller to dst and returns the result: at most
+// MaxChoices, live ones before doubtful ones, each by tier. It appends
+// nothing only if neither the route of the caller's block nor the default route
+// has a live or doubtful site. It does not allocate if dst has capacity for
+// MaxChoices more.
 func (t *Table) Lookup(caller netip.Addr, dst []Choice) []Choice {
 	start := len(dst)
 	if r, ok := t.blocks.Lookup(caller.Unmap()); ok {
@@ -78,7 +79,7 @@
 	return t.appendUsable(dst, t.fallback)
 }
 
-// Site returns the site with the index of a choice. It must not be changed.
+// Site returns the site with the index of a choice. It must not be modified.
 func (t *Table) Site(i uint32) *Site { return &t.sites[i] }
 
 // State returns the state of the site with the index of a choice.
@@ -93,11 +94,11 @@
 // Blocks returns the number of client blocks.
 func (t *Table) Blocks() int { return t.blocks.Size() }
 
-// Validity returns how long a caller may use an answer. An entry that leaves
-// must answer for this long after it was last in an answer.
+// Validity returns how long a caller may use an answer. An entry that shuts down
+// must accept requests for this long after it was last in an answer.
 func (t *Table) Validity() time.Duration { return t.validity }
 
-// WithState returns a table in which one site has another state.
+// WithState returns a copy of the table with the state of one site replaced.
 func (t *Table) WithState(site uint32, state State) *Table {
 	next := *t
 	next.states = slices.Clone(t.states)
@@ -105,8 +106,8 @@
 	return &next
 }
 
-// WithSite returns a table in which one site is replaced by another, as when
-// a new instance takes the place of a lost one.
+// WithSite returns a copy of the table with one site and its state replaced, as
+// when a new instance replaces a failed one.
 func (t *Table) WithSite(i uint32, site Site, state State) *Table {
 	next := t.WithState(i, state)
 	next.sites = slices.Clone(t.sites)
@@ -114,7 +115,8 @@
 	return next
 }
 
-// WithBlock returns a table with one client block added or changed.
+// WithBlock returns a copy of the table with one client block added or
+// replaced.
 func (t *Table) WithBlock(b Block) (*Table, error) {
 	if err := checkBlock(b, len(t.sites)); err != nil {
 		return nil, err
@@ -124,7 +126,7 @@
 	return &next, nil
 }
 
-// WithoutBlock returns a table without the client block.
+// WithoutBlock returns a copy of the table without the client block.
 func (t *Table) WithoutBlock(prefix netip.Prefix) *Table {
 	next := *t
 	next.blocks = t.blocks.DeletePersist(prefix.Masked())
@@ -184,7 +186,7 @@
 		case c.Tier >= doubtfulTier:
 			return eris.Errorf("choice %d: tier must be below %d", i, doubtfulTier)
 		case i > 0 && c.Tier < r[i-1].Tier:
-			return eris.Errorf("choice %d: tiers must not fall", i)
+			return eris.Errorf("choice %d: tiers must not decrease", i)
 		}
 	}
 	return nil
--- a/internal/lookup/table_test.go
+++ b/internal/lookup/table_test.go
@@ -34,12 +34,12 @@
 		states map[id.Instance]lookup.State
 		want   []lookup.Choice
 	}{
-		"all live":      {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Live, "e3": lookup.Live}, []lookup.Choice{{1, 1, 0}, {2, 1, 0}, {0, 1, 1}}},
-		"one leaves":    {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Leaving, "e3": lookup.Live}, []lookup.Choice{{2, 1, 0}, {0, 1, 1}}},
-		"one is down":   {map[id.Instance]lookup.State{"e1": lookup.Down, "e2": lookup.Live, "e3": lookup.Live}, []lookup.Choice{{1, 1, 0}, {2, 1, 0}}},
-		"one unknown":   {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Live}, []lookup.Choice{{1, 1, 0}, {0, 1, 1}, {2, 1, 128}}},
-		"all unknown":   {nil, []lookup.Choice{{1, 1, 128}, {2, 1, 128}, {0, 1, 129}}},
-		"none may take": {map[id.Instance]lookup.State{"e1": lookup.Down, "e2": lookup.Leaving, "e3": lookup.Down}, nil},
+		"all live":       {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Live, "e3": lookup.Live}, []lookup.Choice{{1, 1, 0}, {2, 1, 0}, {0, 1, 1}}},
+		"one is leaving": {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Leaving, "e3": lookup.Live}, []lookup.Choice{{2, 1, 0}, {0, 1, 1}}},
+		"one is down":    {map[id.Instance]lookup.State{"e1": lookup.Down, "e2": lookup.Live, "e3": lookup.Live}, []lookup.Choice{{1, 1, 0}, {2, 1, 0}}},
+		"one unknown":    {map[id.Instance]lookup.State{"e1": lookup.Live, "e2": lookup.Live}, []lookup.Choice{{1, 1, 0}, {0, 1, 1}, {2, 1, 128}}},
+		"all unknown":    {nil, []lookup.Choice{{1, 1, 128}, {2, 1, 128}, {0, 1, 129}}},
+		"none is usable": {map[id.Instance]lookup.State{"e1": lookup.Down, "e2": lookup.Leaving, "e3": lookup.Down}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestJudgeInputs(t *testing.T) {
+func TestEffectiveStateOfReports(t *testing.T) {
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	tests := map[string]struct {
 		give measured.Value[lookup.State]
@@ -63,12 +63,12 @@
 		"stale":           {measured.At(lookup.Live, now.Add(-time.Minute)), lookup.Doubtful},
 		"stale and down":  {measured.At(lookup.Down, now.Add(-time.Minute)), lookup.Doubtful},
 		"from the future": {measured.At(lookup.Live, now.Add(time.Minute)), lookup.Doubtful},
-		"absurd":          {measured.At(lookup.State(200), now), lookup.Doubtful},
+		"invalid state":   {measured.At(lookup.State(200), now), lookup.Doubtful},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(lookup.Judge(tt.give, now, 15*time.Second), tt.want)
+			is.Equal(lookup.EffectiveState(tt.give, now, 15*time.Second), tt.want)
 		})
 	}
 }
@@ -86,11 +86,11 @@
 	inner, other := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("11.0.0.1")
 	second, err := first.WithBlock(lookup.Block{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Route: []lookup.Choice{{2, 1, 0}}})
 	is.NoErr(err)
-	is.Equal(first.Lookup(inner, nil)[0].Site, uint32(1))                                        // unchanged by the copy
+	is.Equal(first.Lookup(inner, nil)[0].Site, uint32(1))                                        // the original is unchanged
 	is.Equal(second.Lookup(inner, nil)[0].Site, uint32(2))                                       // longest prefix
-	is.Equal(second.Lookup(netip.AddrFrom16(inner.As16()), nil)[0].Site, uint32(2))              // mapped address
+	is.Equal(second.Lookup(netip.AddrFrom16(inner.As16()), nil)[0].Site, uint32(2))              // IPv4-mapped address
 	is.Equal(second.Lookup(other, nil)[0].Site, uint32(0))                                       // default
-	is.Equal(second.WithState(2, lookup.Down).Lookup(inner, nil)[0].Site, uint32(0))             // route is out
+	is.Equal(second.WithState(2, lookup.Down).Lookup(inner, nil)[0].Site, uint32(0))             // no usable choice in the route
 	is.Equal(second.WithoutBlock(netip.MustParsePrefix("10.1.0.0/16")).Blocks(), first.Blocks()) // removed
 	is.Equal(first.WithSite(1, lookup.Site{Instance: "d"}, lookup.Live).Site(1).Instance, id.Instance("d"))
 	_, err = first.WithBlock(lookup.Block{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Route: []lookup.Choice{{9, 1, 0}}})
@@ -99,8 +99,9 @@
 	is.True(err != nil)
 }
 
-// Every look-up agrees with a linear search for the longest prefix.
-func TestLookupIsLongestPrefix(t *testing.T) {
+// Every lookup must give the same result as a linear search for the longest
+// matching prefix.
+func TestLookupUsesLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := lookup.Builder{
 			Sites:   make([]lookup.Site, 40),
@@ -132,7 +133,7 @@
 	})
 }
 
-func TestTargetAllocationsAndBytes(t *testing.T) {
+func TestTargetSizeMeetsAllocationAndMemoryLimits(t *testing.T) {
 	is := is.New(t)
 	b := target()
 	before := heap()
@@ -182,8 +183,8 @@
 	}
 }
 
-// target returns a builder at the target's size, in which nearly every block
-// has a route of its own.
+// target returns a builder of the target size, in which nearly every block has
+// a distinct route.
 func target() *lookup.Builder {
 	r := rand.New(rand.NewPCG(1, 2))
 	b := &lookup.Builder{
