--- a/internal/probe/doc.go
+++ b/internal/probe/doc.go
@@ -1,14 +1,15 @@
-// Package probe asks backend servers for their health and their load.
+// Package probe performs active health checks of backend servers and reads
+// their load reports.
 //
-// A [Prober] asks each server in turn, a few at a time, about every
-// [Prober.Period], with jitter, so that a fleet that starts together doesn't
-// probe together. It takes the time of the ask, not of the answer, as the
-// measurement's time. What an answer says may be late or wrong; package health
-// weighs it against what requests met.
+// A [Prober] probes each server about once every [Prober.Period], with a limit
+// on concurrent probes. The times are jittered, so that entries that start
+// together don't probe in step. A measurement is dated by the time of the
+// request, not of the answer. Answers may be late or wrong; package health
+// combines them with passive health checks.
 //
-// The contract with a backend server: GET /health answers 200 while it takes
-// requests, GET /load answers a JSON object with running, slots and draining.
-// A server that has no /load, or answers something else, has no report.
+// A backend server answers GET /health with status 200 while it accepts
+// requests, and GET /load with a JSON object of running, slots and draining. A
+// server without /load, or with any other answer to it, has no load report.
 //
 // # Usage
 //
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -22,25 +22,26 @@
 const (
 	defaultPeriod = 10 * time.Second
 	timeout       = 2 * time.Second
-	concurrent    = 16
-	maxReport     = 4 << 10
-	round         = time.Second
+	maxConcurrent = 16
+	maxBodyBytes  = 4 << 10
+	roundInterval = time.Second
 )
 
 type (
 	// Prober probes backend servers. Its fields must not change after Run.
 	Prober struct {
-		// Services returns the service files in force.
+		// Services returns the service files of the active configuration.
 		Services func() []*service.File
-		// Dial connects to a server; nil is TCP.
+		// Dial connects to a server; nil means TCP.
 		Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 		// Period is the time between two probes of a server; 0 means 10 s.
 		Period time.Duration
-		// Probed takes whether a server answered that it takes requests.
+		// Probed is called with the result of each health check: whether the
+		// server answered that it accepts requests.
 		Probed func(id.Service, id.Server, measured.Value[bool])
-		// Reported takes a server's own word on its load.
+		// Reported is called with each load report of a server.
 		Reported func(id.Service, id.Server, measured.Value[health.Report])
-		// Rand jitters. It is used by Run alone.
+		// Rand provides the jitter of the probes. Only Run uses it.
 		Rand *rand.Rand
 
 		client *http.Client
@@ -61,13 +62,13 @@
 	}
 )
 
-// Run probes until ctx ends.
+// Run probes the servers until ctx ends.
 func (p *Prober) Run(ctx context.Context) error {
 	p.client = &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: p.dial}}
-	tick := time.NewTicker(round)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
-		p.probe(ctx, p.due(time.Now()))
+		p.probeAll(ctx, p.due(time.Now()))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -76,8 +77,8 @@
 	}
 }
 
-// due returns the servers whose time has come, and forgets those that are not
-// configured any more. A new server is due within a round.
+// due returns, in random order, the servers to probe now, and removes those that
+// are no longer configured. A new server is due within one roundInterval.
 func (p *Prober) due(now time.Time) []target {
 	period := p.Period
 	if period == 0 {
@@ -101,20 +102,20 @@
 	return out
 }
 
-func (p *Prober) probe(ctx context.Context, targets []target) {
+func (p *Prober) probeAll(ctx context.Context, targets []target) {
 	var wg sync.WaitGroup
-	free := make(chan struct{}, concurrent)
+	free := make(chan struct{}, maxConcurrent)
 	for _, t := range targets {
 		free <- struct{}{}
 		wg.Go(func() {
-			p.ask(ctx, t)
+			p.probeServer(ctx, t)
 			<-free
 		})
 	}
 	wg.Wait()
 }
 
-func (p *Prober) ask(ctx context.Context, t target) {
+func (p *Prober) probeServer(ctx context.Context, t target) {
 	asked := time.Now()
 	status, _, err := p.get(ctx, t, "/health")
 	if ctx.Err() != nil {
@@ -143,7 +144,7 @@
 		return 0, nil, eris.Wrap(err, "probe")
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	return resp.StatusCode, body, eris.Wrap(err, "probe")
 }
 
--- a/internal/probe/prober_test.go
+++ b/internal/probe/prober_test.go
@@ -18,23 +18,23 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-type word struct {
+// results holds the last results of a prober.
+type results struct {
 	probe  measured.Value[bool]
 	report measured.Value[health.Report]
 }
 
-// TestRun probes one server once.
-func TestRun(t *testing.T) {
+func TestRunReportsHealthAndLoad(t *testing.T) {
 	tests := map[string]struct {
 		prepare  func(*backend.Server)
 		healthy  bool
 		refuses  bool
 		reported measured.State
 	}{
-		"well":         {prepare: func(*backend.Server) {}, healthy: true, reported: measured.Fresh},
-		"claims to be": {prepare: func(s *backend.Server) { s.SetFaults(backend.Faults{Health: http.StatusInternalServerError}) }, reported: measured.Fresh},
-		"draining":     {prepare: func(s *backend.Server) { s.Drain() }, refuses: true, reported: measured.Fresh},
-		"gone":         {prepare: func(s *backend.Server) { s.Close() }},
+		"healthy":              {prepare: func(*backend.Server) {}, healthy: true, reported: measured.Fresh},
+		"failing health check": {prepare: func(s *backend.Server) { s.SetFaults(backend.Faults{Health: http.StatusInternalServerError}) }, reported: measured.Fresh},
+		"draining":             {prepare: func(s *backend.Server) { s.Drain() }, refuses: true, reported: measured.Fresh},
+		"stopped":              {prepare: func(s *backend.Server) { s.Close() }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			is.NoErr(err)
 			defer s.Close()
 			tt.prepare(s)
-			got := once(t, address)
+			got := probeOnce(t, address)
 			healthy, state := got.probe.Read(time.Now(), time.Minute)
 			is.Equal(state, measured.Fresh)
 			is.Equal(healthy, tt.healthy)
@@ -58,16 +58,17 @@
 	}
 }
 
-func once(t *testing.T, address netip.AddrPort) word {
+// probeOnce runs a prober of one server for a single round.
+func probeOnce(t *testing.T, address netip.AddrPort) results {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	var got word
+	var got results
 	file := &service.File{Service: "registry", Servers: []service.Server{{Name: "b-1", Address: address}}}
 	asked := 0
 	p := probe.Prober{
 		Services: func() []*service.File {
 			if asked++; asked > 1 {
-				cancel() // the first round is over
+				cancel() // the first round has ended
 			}
 			return []*service.File{file}
 		},
