--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -17,7 +17,7 @@
 
 const clientName = "operator"
 
-// Client sends commands to one entry's operators' listener. It is safe for
+// Client sends commands to the operators' listener of one entry. It is safe for
 // concurrent use.
 type Client struct {
 	base    string
@@ -27,7 +27,8 @@
 
 // NewClient returns a client of the listener at the address.
 func NewClient(address netip.AddrPort, token string) *Client {
-	// A command must reach the entry whatever happened to earlier ones.
+	// Without a circuit breaker, so that a command is sent even if earlier ones
+	// failed.
 	breaker.NoBreakerFor(clientName)
 	return &Client{
 		base:    "http://" + address.String(),
@@ -36,27 +37,27 @@
 	}
 }
 
-// Status returns what the entry knows.
+// Status returns the state of the entry.
 func (c *Client) Status(ctx context.Context) (s Status, err error) {
 	return s, c.do(ctx, http.MethodGet, "/v1/status", nil, nil, &s)
 }
 
-// Explain returns why a request goes where it goes.
+// Explain returns how a request is routed, and why.
 func (c *Client) Explain(ctx context.Context, q Query) (e Explanation, err error) {
 	return e, c.do(ctx, http.MethodGet, "/v1/explain", q.query(), nil, &e)
 }
 
-// Drain begins to drain the target.
+// Drain starts draining the target.
 func (c *Client) Drain(ctx context.Context, t Target) (p Progress, err error) {
 	return p, c.do(ctx, http.MethodPost, "/v1/drain", nil, t, &p)
 }
 
-// Undrain gives the target new work again.
+// Undrain ends the drain of the target, so that it gets new requests again.
 func (c *Client) Undrain(ctx context.Context, t Target) (p Progress, err error) {
 	return p, c.do(ctx, http.MethodPost, "/v1/undrain", nil, t, &p)
 }
 
-// Progress tells how far a drain is.
+// Progress returns the progress of a drain.
 func (c *Client) Progress(ctx context.Context, t Target) (p Progress, err error) {
 	return p, c.do(ctx, http.MethodGet, "/v1/drain", t.query(), nil, &p)
 }
@@ -66,7 +67,7 @@
 	return q, c.do(ctx, http.MethodGet, "/v1/quarantine", nil, nil, &q)
 }
 
-// Lift ends a quarantine.
+// Lift ends the quarantine with the ID.
 func (c *Client) Lift(ctx context.Context, id string) error {
 	return c.do(ctx, http.MethodDelete, "/v1/quarantine/"+url.PathEscape(id), nil, nil, &struct{}{})
 }
@@ -74,7 +75,7 @@
 func (c *Client) do(ctx context.Context, method, path string, query url.Values, send, receive any) error {
 	resp, err := c.send(ctx, method, path, query, send)
 	if err != nil {
-		return Errorf(result.EntryUnreachable, "%s can't be asked: %s", c.base, err)
+		return Errorf(result.EntryUnreachable, "%s is unreachable: %s", c.base, err)
 	}
 	defer resp.Body.Close()
 	decoder := json.NewDecoder(resp.Body)
@@ -95,7 +96,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+query.Encode(), bytes.NewReader(data))
 	if err != nil {
-		return nil, eris.Wrap(err, "make request")
+		return nil, eris.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	req.Header.Set("Content-Type", "application/json")
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,17 +1,17 @@
-// Package operator speaks to operators: an HTTP listener with JSON answers,
-// and the client of it that the command line uses.
+// Package operator implements the HTTP API for operators, with JSON answers, and
+// the client that the command line uses.
 //
 // A [Handler] answers from a [Source], which the daemon implements. Every
-// request but /livez and /readyz needs a bearer token whose SHA-256 is in the
-// settings; the token's role tells whether it may change anything. See
+// request except /livez and /readyz needs a bearer token whose SHA-256 is in
+// the settings; the token's role determines whether it may make changes. See
 // docs/design/operator-access.md.
 //
-//	GET    /v1/status                      what the entry knows, with ages
-//	GET    /v1/explain?service=…&caller=…  why a request goes where it goes
-//	GET    /v1/drain?service=…&server=…    how far a drain is
-//	POST   /v1/drain, /v1/undrain          a Target
+//	GET    /v1/status                      state of the entry, with ages
+//	GET    /v1/explain?service=…&caller=…  reasons for a request's routing
+//	GET    /v1/drain?service=…&server=…    progress of a drain
+//	POST   /v1/drain, /v1/undrain          starts or ends the drain of a Target
 //	GET    /v1/quarantine                  quarantined requests
-//	DELETE /v1/quarantine/{id}             lifts one
+//	DELETE /v1/quarantine/{id}             lifts a quarantine
 //	GET    /metrics, /livez, /readyz
 //
 // # Usage
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -17,21 +17,21 @@
 const maxBody = 64 << 10
 
 type (
-	// Handler answers the operators' listener.
+	// Handler handles requests of the operators' listener.
 	Handler struct {
-		// Source is what it answers from.
+		// Source provides the answers and carries out commands.
 		Source Source
-		// Operators lists who may use it.
+		// Operators lists the operators that may send requests.
 		Operators []settings.Operator
-		// Log gets a line for each command and each refusal.
+		// Log receives a message for each command and each rejected request.
 		Log *slog.Logger
 	}
 
-	// action does one request's work and returns what is sent as JSON.
+	// action handles a request and returns the value to send as JSON.
 	action func(r *http.Request) (any, error)
 )
 
-// ServeHTTP answers one request.
+// ServeHTTP handles a request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/livez":
@@ -54,15 +54,15 @@
 func (h *Handler) authorised(w http.ResponseWriter, r *http.Request) {
 	who, ok := h.operator(r)
 	if !ok {
-		h.Log.Warn("operator refused", "remote", r.RemoteAddr, "method", r.Method, "path", r.URL.Path)
+		h.Log.Warn("operator request rejected", "remote", r.RemoteAddr, "method", r.Method, "path", r.URL.Path)
 		w.Header().Set("WWW-Authenticate", "Bearer")
-		writeError(w, Errorf(result.OperatorUnknown, "the token is missing or not known"))
+		writeError(w, Errorf(result.OperatorUnknown, "the bearer token is missing or unknown"))
 		return
 	}
 	changes := r.Method != http.MethodGet
 	if changes && who.Role != settings.Writer {
-		h.Log.Warn("operator refused", "operator", who.Name, "role", who.Role, "method", r.Method, "path", r.URL.Path)
-		writeError(w, Errorf(result.OperatorRole, "the role %s may not do this", who.Role))
+		h.Log.Warn("operator request rejected", "operator", who.Name, "role", who.Role, "method", r.Method, "path", r.URL.Path)
+		writeError(w, Errorf(result.OperatorRole, "the role %s does not permit this request", who.Role))
 		return
 	}
 	if changes {
@@ -71,8 +71,8 @@
 	h.route(w, r)
 }
 
-// operator finds the bearer token's operator. It compares with every hash, in
-// constant time each.
+// operator returns the operator that the bearer token belongs to. It compares
+// the token's hash with all hashes, each in constant time.
 func (h *Handler) operator(r *http.Request) (settings.Operator, bool) {
 	var found settings.Operator
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -94,7 +94,7 @@
 	}
 	act := h.action(r.Method, r.URL.Path)
 	if act == nil {
-		writeError(w, Errorf(result.NoTarget, "there is no %s %s", r.Method, r.URL.Path))
+		writeError(w, Errorf(result.NoTarget, "no endpoint %s %s", r.Method, r.URL.Path))
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
@@ -208,5 +208,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	w.Write(append(data, '\n')) //nolint:errcheck // the client may be gone
+	w.Write(append(data, '\n')) //nolint:errcheck // the client may have disconnected
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// fakeSource records what it was told.
+// fakeSource records the commands that it receives.
 type fakeSource struct {
 	drained []operator.Target
 	lifted  []string
@@ -79,29 +79,29 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-func TestHandlerRefusesWhoIsNotAllowed(t *testing.T) {
+func TestHandlerChecksTokenAndRole(t *testing.T) {
 	tests := map[string]struct {
 		method, path, header string
 		status               int
 	}{
-		"liveness is open":          {method: "GET", path: "/livez", status: http.StatusNoContent},
-		"readiness is open":         {method: "GET", path: "/readyz", status: http.StatusServiceUnavailable},
-		"no token":                  {method: "GET", path: "/v1/status", status: http.StatusUnauthorized},
-		"metrics without token":     {method: "GET", path: "/metrics", status: http.StatusUnauthorized},
-		"unknown path, no token":    {method: "GET", path: "/v1/other", status: http.StatusUnauthorized},
-		"empty token":               {method: "GET", path: "/v1/status", header: "Bearer ", status: http.StatusUnauthorized},
-		"wrong token":               {method: "GET", path: "/v1/status", header: "Bearer x", status: http.StatusUnauthorized},
-		"other scheme":              {method: "GET", path: "/v1/status", header: "Basic w", status: http.StatusUnauthorized},
-		"token alone":               {method: "GET", path: "/v1/status", header: "w", status: http.StatusUnauthorized},
-		"reader reads":              {method: "GET", path: "/v1/status", header: "Bearer r", status: http.StatusOK},
-		"reader reads metrics":      {method: "GET", path: "/metrics", header: "Bearer r", status: http.StatusOK},
-		"reader may not drain":      {method: "POST", path: "/v1/drain", header: "Bearer r", status: http.StatusForbidden},
-		"reader may not lift":       {method: "DELETE", path: "/v1/quarantine/4", header: "Bearer r", status: http.StatusForbidden},
-		"reader with other method":  {method: "HEAD", path: "/v1/status", header: "Bearer r", status: http.StatusForbidden},
-		"writer, bad target":        {method: "POST", path: "/v1/drain", header: "Bearer w", status: http.StatusBadRequest},
-		"writer, unknown path":      {method: "GET", path: "/v1/other", header: "Bearer w", status: http.StatusNotFound},
-		"writer, failure":           {method: "GET", path: "/v1/quarantine", header: "Bearer w", status: http.StatusInternalServerError},
-		"writer, no such statement": {method: "GET", path: "/v1/explain?service=A&caller=1.2.3.4", header: "Bearer w", status: http.StatusBadRequest},
+		"liveness is open":            {method: "GET", path: "/livez", status: http.StatusNoContent},
+		"readiness is open":           {method: "GET", path: "/readyz", status: http.StatusServiceUnavailable},
+		"no token":                    {method: "GET", path: "/v1/status", status: http.StatusUnauthorized},
+		"metrics without token":       {method: "GET", path: "/metrics", status: http.StatusUnauthorized},
+		"unknown path, no token":      {method: "GET", path: "/v1/other", status: http.StatusUnauthorized},
+		"empty token":                 {method: "GET", path: "/v1/status", header: "Bearer ", status: http.StatusUnauthorized},
+		"wrong token":                 {method: "GET", path: "/v1/status", header: "Bearer x", status: http.StatusUnauthorized},
+		"other authentication scheme": {method: "GET", path: "/v1/status", header: "Basic w", status: http.StatusUnauthorized},
+		"token without scheme":        {method: "GET", path: "/v1/status", header: "w", status: http.StatusUnauthorized},
+		"reader reads":                {method: "GET", path: "/v1/status", header: "Bearer r", status: http.StatusOK},
+		"reader reads metrics":        {method: "GET", path: "/metrics", header: "Bearer r", status: http.StatusOK},
+		"reader may not drain":        {method: "POST", path: "/v1/drain", header: "Bearer r", status: http.StatusForbidden},
+		"reader may not lift":         {method: "DELETE", path: "/v1/quarantine/4", header: "Bearer r", status: http.StatusForbidden},
+		"reader with other method":    {method: "HEAD", path: "/v1/status", header: "Bearer r", status: http.StatusForbidden},
+		"writer, bad target":          {method: "POST", path: "/v1/drain", header: "Bearer w", status: http.StatusBadRequest},
+		"writer, unknown path":        {method: "GET", path: "/v1/other", header: "Bearer w", status: http.StatusNotFound},
+		"writer, failure":             {method: "GET", path: "/v1/quarantine", header: "Bearer w", status: http.StatusInternalServerError},
+		"writer, bad query":           {method: "GET", path: "/v1/explain?service=A&caller=1.2.3.4", header: "Bearer w", status: http.StatusBadRequest},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestClientSpeaksToHandler(t *testing.T) {
+func TestClientCallsHandler(t *testing.T) {
 	is := is.New(t)
 	source := &fakeSource{}
 	server := serve(t, source)
@@ -152,7 +152,7 @@
 	is.Equal(source.lifted, []string{"a/b"})
 }
 
-func TestClientTellsWhatStoppedACommand(t *testing.T) {
+func TestClientReturnsReasonOfFailedCommand(t *testing.T) {
 	server := serve(t, &fakeSource{})
 	tests := map[string]struct {
 		address netip.AddrPort
@@ -163,7 +163,7 @@
 		"unsafe":       {address: address(server), token: "w", target: operator.Target{Service: "registry", Server: "registry-9"}, code: result.DrainUnsafe},
 		"wrong token":  {address: address(server), token: "x", target: operator.Target{Instance: "entry-1"}, code: result.OperatorUnknown},
 		"both targets": {address: address(server), token: "w", target: operator.Target{Instance: "entry-1", Service: "a", Server: "b"}, code: result.BadCommand},
-		"nobody there": {address: netip.MustParseAddrPort("127.0.0.1:1"), token: "w", target: operator.Target{Instance: "entry-1"}, code: result.EntryUnreachable},
+		"unreachable":  {address: netip.MustParseAddrPort("127.0.0.1:1"), token: "w", target: operator.Target{Instance: "entry-1"}, code: result.EntryUnreachable},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/operator/source.go
+++ b/internal/operator/source.go
@@ -9,44 +9,46 @@
 )
 
 type (
-	// Source is what the listener answers from. It is safe for concurrent
-	// use. Its errors are *Error where a command can't be done.
+	// Source provides the answers of the listener and carries out its
+	// commands. It is safe for concurrent use. If a command can't be carried
+	// out, the error is an *Error.
 	Source interface {
-		// Status returns what the entry knows now.
+		// Status returns the current state of the entry.
 		Status(ctx context.Context) (Status, error)
-		// Explain returns why a request goes where it goes now.
+		// Explain returns how a request would be routed now, and why.
 		Explain(ctx context.Context, q Query) (Explanation, error)
-		// Drain begins to drain the target and returns at once. Draining one
-		// that is draining changes nothing.
+		// Drain starts draining the target and returns immediately. It has no
+		// effect on a target that is draining already.
 		Drain(ctx context.Context, t Target) (Progress, error)
-		// Undrain gives the target new work again.
+		// Undrain ends the drain of the target, so that it gets new requests
+		// again.
 		Undrain(ctx context.Context, t Target) (Progress, error)
-		// Progress tells how far a drain is.
+		// Progress returns the progress of a drain.
 		Progress(ctx context.Context, t Target) (Progress, error)
 		// Quarantined lists the quarantined requests.
 		Quarantined(ctx context.Context) ([]Quarantined, error)
-		// Lift ends a quarantine.
+		// Lift ends the quarantine with the ID.
 		Lift(ctx context.Context, id string) error
 		// WriteMetrics writes the metrics in the Prometheus text format.
 		WriteMetrics(w io.Writer)
-		// Ready returns nil if the entry may be sent requests, and the reason
-		// otherwise.
+		// Ready returns nil if the entry is ready for requests, and otherwise
+		// an error with the reason.
 		Ready() error
 	}
 
-	// Error says what stopped a command.
+	// Error is the reason why a command failed.
 	Error struct {
-		// Code is the numbered reason.
+		// Code is the result code.
 		Code result.Code `json:"code"`
-		// Text says what stopped the command.
+		// Text describes the failure.
 		Text string `json:"text"`
 	}
 )
 
-// Errorf returns an Error with a formatted text.
+// Errorf returns an Error with the code and a formatted text.
 func Errorf(code result.Code, format string, args ...any) *Error {
 	return &Error{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// Error formats the error with its code.
+// Error returns the text with the code.
 func (e *Error) Error() string { return fmt.Sprintf("%s (code %d)", e.Text, e.Code) }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// Status is what an entry knows.
+	// Status is the state of an entry and its view of the deployment.
 	Status struct {
 		// Instance is the entry that answers.
 		Instance id.Instance `json:"instance,omitempty"`
@@ -18,17 +18,18 @@
 		Zone id.Zone `json:"zone,omitempty"`
 		// Region is its region.
 		Region id.Region `json:"region,omitempty"`
-		// Incarnation tells the process from earlier ones.
+		// Incarnation distinguishes the process from earlier ones.
 		Incarnation id.Incarnation `json:"incarnation"`
-		// Version is the configuration in force; 0 if there is none.
+		// Version is the version of the active configuration; 0 if there is
+		// none.
 		Version id.Version `json:"version"`
-		// Ready tells whether it may be sent requests.
+		// Ready reports whether it is ready for requests.
 		Ready bool `json:"ready"`
-		// NotReady says why not.
+		// NotReady is the reason why it is not ready.
 		NotReady string `json:"notReady,omitempty"`
-		// Leaving tells whether it is about to stop.
+		// Leaving reports whether it is shutting down.
 		Leaving bool `json:"leaving"`
-		// Store tells how the platform's store answers.
+		// Store is the age of the last answer of the platform's store.
 		Store Seen `json:"store"`
 		// Instances lists the entries.
 		Instances []InstanceStatus `json:"instances"`
@@ -38,15 +39,16 @@
 		Services []ServiceStatus `json:"services"`
 	}
 
-	// Seen tells how old a measurement is.
+	// Seen is the age of a measurement.
 	Seen struct {
 		// State is fresh, stale, missing or future.
 		State string `json:"state"`
-		// Age is the time since it was taken; 0 if it is missing.
+		// Age is the time since the measurement; 0 if it is missing.
 		Age unit.Duration `json:"age"`
 	}
 
-	// InstanceStatus is another entry, or the one that answers.
+	// InstanceStatus is the status of an entry, which may be the one that
+	// answers.
 	InstanceStatus struct {
 		// Name is the instance's name.
 		Name id.Instance `json:"name,omitempty"`
@@ -54,160 +56,165 @@
 		Zone id.Zone `json:"zone,omitempty"`
 		// Region is its region.
 		Region id.Region `json:"region,omitempty"`
-		// State says what is thought of it, such as alive, leaving or lost.
+		// State is its state for lookups: live, leaving, down or doubtful.
 		State string `json:"state"`
-		// Version is the configuration that it has in force.
+		// Version is the version of its active configuration.
 		Version id.Version `json:"version"`
 		// Seen is the age of its last heartbeat.
 		Seen Seen `json:"seen"`
 	}
 
-	// LinkStatus is one direction of a link between regions.
+	// LinkStatus is the status of one direction of a link between regions.
 	LinkStatus struct {
 		// From is the sending region.
 		From id.Region `json:"from,omitempty"`
 		// To is the receiving region.
 		To id.Region `json:"to,omitempty"`
-		// Budget is what entries may send.
+		// Budget is the bandwidth that the answering entry may use.
 		Budget unit.BitRate `json:"budget"`
-		// Used is what they send.
+		// Used is the bandwidth in use.
 		Used unit.BitRate `json:"used"`
 		// Seen is the age of Used.
 		Seen Seen `json:"seen"`
 	}
 
-	// ServiceStatus is a service.
+	// ServiceStatus is the status of a service.
 	ServiceStatus struct {
-		// Name names the service.
+		// Name is the service's name.
 		Name id.Service `json:"name,omitempty"`
-		// Regions lists the headroom of its regions.
+		// Regions lists the headroom in its regions.
 		Regions []Headroom `json:"regions"`
 		// Servers lists its backend servers.
 		Servers []ServerStatus `json:"servers"`
 	}
 
-	// Headroom is what is left of a service's slots in a region.
+	// Headroom is the number of a service's slots in a region, in total and in
+	// use.
 	Headroom struct {
 		// Region is the region.
 		Region id.Region `json:"region,omitempty"`
-		// Slots is the sum of slots of backend servers that take new work.
+		// Slots is the sum of the slots of the backend servers that are not
+		// leaving.
 		Slots int `json:"slots"`
-		// Used is how many of them are in use.
+		// Used is the number of slots that the answering entry has in use.
 		Used int `json:"used"`
 	}
 
-	// ServerStatus is a backend server.
+	// ServerStatus is the status of a backend server.
 	ServerStatus struct {
-		// Name names the backend server.
+		// Name is the backend server's name.
 		Name id.Server `json:"name,omitempty"`
 		// Zone is its availability zone.
 		Zone id.Zone `json:"zone,omitempty"`
-		// State says whether it takes new work, and why not.
+		// State states whether it takes new requests, or why not.
 		State string `json:"state"`
-		// Slots is how many requests it runs at the same time.
+		// Slots is its concurrency limit in requests.
 		Slots int `json:"slots"`
-		// Used is how many of them the answering entry has in use.
+		// Used is the number of slots that the answering entry has in use.
 		Used int `json:"used"`
-		// Home is the entry that grants its slots; empty if it isn't known.
+		// Home is the entry that grants its slots; empty if unknown.
 		Home id.Instance `json:"home,omitempty"`
-		// Seen is the age of its own load report.
+		// Seen is the age of its last load report.
 		Seen Seen `json:"seen"`
 	}
 
-	// Query asks where a request goes.
+	// Query describes a request whose routing is to be explained.
 	Query struct {
-		// Service names the service.
+		// Service is the service's name.
 		Service id.Service `json:"service,omitempty"`
 		// Caller is the caller's address.
 		Caller netip.Addr `json:"caller"`
 		// Method is the request's method.
 		Method string `json:"method"`
-		// Path is its path after the service's own prefix.
+		// Path is its path without the service's prefix.
 		Path string `json:"path"`
 	}
 
-	// Explanation says why a request goes where it goes.
+	// Explanation states how a request is routed, and why.
 	Explanation struct {
-		// Service names the service.
+		// Service is the service's name.
 		Service id.Service `json:"service,omitempty"`
 		// Class is the matching request class; empty if none matches.
 		Class id.Class `json:"class,omitempty"`
-		// Version is the configuration that the explanation rests on.
+		// Version is the version of the configuration used.
 		Version id.Version `json:"version"`
-		// Code is the result code if the request would be refused now.
+		// Code is the result code if the request would be rejected now.
 		Code result.Code `json:"code,omitempty"`
-		// Entries lists the entries that a look-up names, best first.
+		// Entries lists the entries that a lookup returns, best first.
 		Entries []Choice `json:"entries"`
-		// Servers lists the backend servers in the order of their choice.
+		// Servers lists the backend servers in the order of preference.
 		Servers []Choice `json:"servers"`
 	}
 
-	// Choice is one candidate with the reason for its place.
+	// Choice is a candidate with the reason for its rank.
 	Choice struct {
-		// Name names the entry or the backend server.
+		// Name is the name of the entry or the backend server.
 		Name string `json:"name"`
 		// Zone is its availability zone.
 		Zone id.Zone `json:"zone,omitempty"`
-		// Weight is its share; 0 for one that isn't chosen.
+		// Weight is its relative weight; 0 if it isn't chosen.
 		Weight float64 `json:"weight"`
-		// Why says what put it in its place.
+		// Why is the reason for its rank.
 		Why string `json:"why"`
 	}
 
-	// Target is what a drain is for: a backend server of a service, or an
+	// Target is the target of a drain: a backend server of a service, or an
 	// entry instance.
 	Target struct {
 		// Service is the backend server's service.
 		Service id.Service `json:"service,omitempty"`
-		// Server names the backend server.
+		// Server is the backend server's name.
 		Server id.Server `json:"server,omitempty"`
-		// Instance names an entry instance.
+		// Instance is the name of an entry instance.
 		Instance id.Instance `json:"instance,omitempty"`
 	}
 
-	// Progress tells how far a drain is.
+	// Progress is the progress of a drain.
 	Progress struct {
-		// Target is what drains.
+		// Target is the target of the drain.
 		Target Target `json:"target"`
-		// Draining tells whether it takes no new work.
+		// Draining reports whether the target is being drained.
 		Draining bool `json:"draining"`
-		// Running is the number of requests still running there, as far as the
-		// answering entry knows.
+		// Running is the number of requests of the answering entry that still
+		// run there.
 		Running int `json:"running"`
-		// Since is the time since the drain began.
+		// Since is the time since the start of the drain.
 		Since unit.Duration `json:"since"`
-		// Done tells whether nothing runs there any more.
+		// Done reports whether no request of the answering entry runs there
+		// any more.
 		Done bool `json:"done"`
-		// Text says what is waited for.
+		// Text describes what the drain is waiting for.
 		Text string `json:"text,omitempty"`
 	}
 
-	// Quarantined is a kind of request that crashed backend servers.
+	// Quarantined describes requests with the same fingerprint that are in
+	// quarantine because they crashed backend servers.
 	Quarantined struct {
-		// ID names the quarantine.
+		// ID identifies the quarantine.
 		ID string `json:"id"`
-		// Service is the requests' service.
+		// Service is the service of the requests.
 		Service id.Service `json:"service,omitempty"`
-		// Class is their class.
+		// Class is the class of the requests.
 		Class id.Class `json:"class,omitempty"`
 		// Crashes is the number of backend servers that crashed.
 		Crashes int `json:"crashes"`
-		// Left is the time until it ends by itself.
+		// Left is the time until the quarantine expires.
 		Left unit.Duration `json:"left"`
 	}
 )
 
-// Check tells what is wrong with the target, nil if nothing is.
+// Check returns an error unless the target is either a backend server of a
+// service or an instance.
 func (t *Target) Check() *Error {
 	server := t.Service != "" && t.Server != ""
 	part := t.Service != "" || t.Server != ""
 	if (t.Instance != "") == part || part != server {
-		return Errorf(result.BadCommand, "a target is a service and a backend server, or an instance")
+		return Errorf(result.BadCommand, "the target must be either a service and a backend server, or an instance")
 	}
 	return nil
 }
 
-// String names the target.
+// String returns a description of the target for messages.
 func (t *Target) String() string {
 	if t.Instance != "" {
 		return "instance " + string(t.Instance)
