--- a/internal/instances/doc.go
+++ b/internal/instances/doc.go
@@ -1,9 +1,9 @@
 // Package instances reads the platform's list of instances.
 //
-// The list says of each instance whether it is live, leaving or gone. It lags:
-// what it says was true some time ago. Absence from the list proves nothing,
-// for a new instance is not in it yet; only [Gone], said of an instance that
-// was listed before, is the platform's word that the instance has ended.
+// The list contains the state of each instance: live, leaving or gone. It lags
+// behind the actual states. Absence from the list proves nothing, since a new
+// instance is not listed yet; only the state [Gone] of an instance that was
+// listed before means that the instance has stopped.
 //
 // # Usage
 //
--- a/internal/instances/instance.go
+++ b/internal/instances/instance.go
@@ -13,12 +13,12 @@
 
 // States of an instance in the platform's list.
 const (
-	// Live means that the instance runs.
+	// Live means that the instance is running.
 	Live State = "live"
 	// Leaving means that the instance will be stopped.
 	Leaving State = "leaving"
-	// Gone means that the instance has ended and won't come back under the
-	// same start.
+	// Gone means that the instance has stopped. A replacement under the same
+	// name has a later start time.
 	Gone State = "gone"
 )
 
@@ -28,40 +28,41 @@
 )
 
 type (
-	// State is what the platform says of an instance.
+	// State is the state of an instance in the platform's list.
 	State string
 
-	// Instance is one line of the platform's list.
+	// Instance is an item of the platform's list.
 	Instance struct {
 		// Name is the instance's name.
 		Name id.Instance `json:"name"`
-		// Zone is the availability zone it stands in.
+		// Zone is its availability zone.
 		Zone id.Zone `json:"zone"`
-		// State is the platform's word on it.
+		// State is its state.
 		State State `json:"state"`
 		// Started is when the platform started it. A replacement under the
-		// same name has a later one.
+		// same name has a later start time.
 		Started time.Time `json:"started"`
 	}
 
 	// Lister reads the list. It is safe for concurrent use.
 	Lister interface {
-		// List returns all instances by name, as of some time ago.
+		// List returns all instances, ordered by name. Their states may be
+		// out of date.
 		List(ctx context.Context) ([]Instance, error)
 	}
 
 	// Client reads the list over HTTP. It is safe for concurrent use.
 	Client struct {
-		// Base is the platform's URL without a trailing slash.
+		// Base is the platform's base URL without a trailing slash.
 		Base string
-		// HTTP makes the calls; nil means http.DefaultClient.
+		// HTTP is the HTTP client; nil means http.DefaultClient.
 		HTTP *http.Client
-		// Timeout bounds a call; 0 means 2 s.
+		// Timeout limits the duration of a call; 0 means 2 s.
 		Timeout time.Duration
 	}
 )
 
-// UnmarshalText decodes and checks a state.
+// UnmarshalText decodes a state and returns an error for an unknown one.
 func (s *State) UnmarshalText(text []byte) error {
 	switch v := State(text); v {
 	case Live, Leaving, Gone:
@@ -72,7 +73,7 @@
 	}
 }
 
-// List returns all instances by name.
+// List returns all instances, ordered by name.
 func (c *Client) List(ctx context.Context) ([]Instance, error) {
 	timeout := c.Timeout
 	if timeout == 0 {
