--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// name is a service file's own name, or its ending.
-	name   = "service.toml"
-	suffix = "." + name
+	// fileName is the name of a service file; a longer name ends with
+	// fileSuffix.
+	fileName   = "service.toml"
+	fileSuffix = "." + fileName
 )
 
-// Found is a service file with its path.
+// Found is a service file that was found, with its path.
 type Found struct {
-	// Path is where it was read.
+	// Path is the path of the file.
 	Path string
-	// Data is its content, for the lines of problems that are found later.
+	// Data is its content, from which errors found later get their line.
 	Data []byte
-	// File is its checked content.
+	// File is its validated content.
 	File *service.File
 }
 
-// Files reads the service files at the paths. A path is a file of any name, or
-// a folder that is searched with the folders below it, hidden ones excepted.
-// The error joins a *service.FileError for each wrong file; there is one too
-// if no file is found or two files are for one service.
+// Files reads the service files at the paths. A path is a file of any name, or a
+// directory, which is searched recursively except for hidden directories below
+// it. The error joins a *service.FileError for each invalid file, and one for
+// each file whose service an earlier file has defined. It is also a
+// *service.FileError if no file is found.
 func Files(paths ...string) ([]Found, error) {
 	var (
 		found []Found
@@ -48,7 +50,7 @@
 		}
 		name := each.File.Service
 		if other, ok := seen[name]; ok {
-			p := &service.FileError{Key: "service", Code: result.ImpossibleValue, Text: fmt.Sprintf("%s is for the service %q too", other, name)}
+			p := &service.FileError{Key: "service", Code: result.ImpossibleValue, Text: fmt.Sprintf("%s already defines the service %q", other, name)}
 			errs = append(errs, p.Locate(path, each.Data))
 			continue
 		}
@@ -58,7 +60,7 @@
 	if len(found)+len(errs) == 0 {
 		errs = append(errs, &service.FileError{
 			File: strings.Join(paths, ", "), Code: result.UnreadableFile,
-			Text: fmt.Sprintf("no %s and no *%s is there", name, suffix),
+			Text: fmt.Sprintf("no %s or *%s found", fileName, fileSuffix),
 		})
 	}
 	return found, errors.Join(errs...)
@@ -73,7 +75,7 @@
 				return err
 			case d.IsDir() && path != root && strings.HasPrefix(d.Name(), "."):
 				return fs.SkipDir
-			case !d.IsDir() && (path == root || d.Name() == name || strings.HasSuffix(d.Name(), suffix)):
+			case !d.IsDir() && (path == root || d.Name() == fileName || strings.HasSuffix(d.Name(), fileSuffix)):
 				set[filepath.Clean(path)] = true
 			}
 			return nil
--- a/internal/collect/collect_test.go
+++ b/internal/collect/collect_test.go
@@ -24,15 +24,15 @@
 		found []string
 		errs  []string
 	}{
-		"below folders":   {files: map[string]string{"a/service.toml": good, "b/c/vault.service.toml": other, "a/Cargo.toml": "x"}, args: []string{"."}, found: []string{"a/service.toml", "b/c/vault.service.toml"}},
-		"file by name":    {files: map[string]string{"registry.toml": good}, args: []string{"registry.toml"}, found: []string{"registry.toml"}},
-		"once if twice":   {files: map[string]string{"a/service.toml": good}, args: []string{".", "a"}, found: []string{"a/service.toml"}},
-		"hidden folder":   {files: map[string]string{".git/service.toml": "x", "service.toml": good}, args: []string{"."}, found: []string{"service.toml"}},
-		"all problems":    {files: map[string]string{"a/service.toml": "slots = 4", "b/service.toml": "service = 4"}, args: []string{"."}, errs: []string{"a/service.toml:1: slots", "b/service.toml:1: service"}},
-		"same service":    {files: map[string]string{"a/service.toml": good, "b/service.toml": good}, args: []string{"."}, found: []string{"a/service.toml"}, errs: []string{"b/service.toml:1: service: a/service.toml is for the service"}},
-		"nothing there":   {args: []string{"."}, errs: []string{"no service.toml"}},
-		"no such folder":  {args: []string{"nowhere"}, errs: []string{"nowhere", "code 4004"}},
-		"one good, a bad": {files: map[string]string{"a/service.toml": good, "b/service.toml": "x"}, args: []string{"."}, found: []string{"a/service.toml"}, errs: []string{"b/service.toml:1"}},
+		"in subdirectories":      {files: map[string]string{"a/service.toml": good, "b/c/vault.service.toml": other, "a/Cargo.toml": "x"}, args: []string{"."}, found: []string{"a/service.toml", "b/c/vault.service.toml"}},
+		"file with another name": {files: map[string]string{"registry.toml": good}, args: []string{"registry.toml"}, found: []string{"registry.toml"}},
+		"overlapping paths":      {files: map[string]string{"a/service.toml": good}, args: []string{".", "a"}, found: []string{"a/service.toml"}},
+		"hidden directory":       {files: map[string]string{".git/service.toml": "x", "service.toml": good}, args: []string{"."}, found: []string{"service.toml"}},
+		"several invalid files":  {files: map[string]string{"a/service.toml": "slots = 4", "b/service.toml": "service = 4"}, args: []string{"."}, errs: []string{"a/service.toml:1: slots", "b/service.toml:1: service"}},
+		"same service":           {files: map[string]string{"a/service.toml": good, "b/service.toml": good}, args: []string{"."}, found: []string{"a/service.toml"}, errs: []string{"b/service.toml:1: service: a/service.toml already defines the service \"registry\""}},
+		"no service file":        {args: []string{"."}, errs: []string{"no service.toml"}},
+		"no such directory":      {args: []string{"nowhere"}, errs: []string{"nowhere", "code 4004"}},
+		"one valid, one invalid": {files: map[string]string{"a/service.toml": good, "b/service.toml": "x"}, args: []string{"."}, found: []string{"a/service.toml"}, errs: []string{"b/service.toml:1"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/collect/doc.go
+++ b/internal/collect/doc.go
@@ -1,6 +1,6 @@
-// Package collect finds and reads the service files that operators keep beside
-// their services' code: service.toml and every *.service.toml below the given
-// folders.
+// Package collect finds, reads and validates the service files that operators
+// keep next to the code of their services: service.toml and every
+// *.service.toml below the given directories.
 //
 // # Usage
 //
