--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -93,9 +93,9 @@
 	operators    *httpserver.Server
 	metrics      *metrics.Set
 
-	mu   sync.Mutex
-	stop leaving.Stop
-	kill context.CancelCauseFunc
+	mu       sync.Mutex
+	shutdown leaving.Sequence
+	kill     context.CancelCauseFunc
 }
 
 var errKilled = eris.New("killed")
@@ -147,10 +147,10 @@
 func (d *Daemon) Leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stop.Phase(time.Now(), 1) == leaving.Serving {
+	if d.shutdown.Phase(time.Now(), 1) == leaving.Serving {
 		d.Log.Info("leaving")
 	}
-	d.stop.Begin(time.Now())
+	d.shutdown.Begin(time.Now())
 	go d.rebuildLookups()
 	go d.slots.Leave()
 }
@@ -172,7 +172,7 @@
 func (d *Daemon) phase(running int) leaving.Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stop.Phase(time.Now(), running)
+	return d.shutdown.Phase(time.Now(), running)
 }
 
 // closed reports whether new requests are rejected.
@@ -212,7 +212,7 @@
 	d.started = time.Now()
 	d.incarnation = id.Incarnation(d.started.UnixNano())
 	d.metrics = metrics.NewSet()
-	d.stop = leaving.Stop{Validity: lookup.DefaultValidity, Spread: propagationTime}
+	d.shutdown = leaving.Sequence{Validity: lookup.DefaultValidity, Propagation: propagationTime}
 	base := d.Store
 	if base == nil {
 		base = &httpstore.Client{Base: "http://" + d.Settings.Platform.Store.String()}
--- a/internal/leaving/doc.go
+++ b/internal/leaving/doc.go
@@ -1,20 +1,21 @@
-// Package leaving is the planned stop of an entry instance.
+// Package leaving implements the phases of graceful shutdown of an entry
+// instance.
 //
-// A stop goes through phases that only move forward. While [Serving], the
-// entry is in the answers to look-ups. Once the stop begins it is [Announced]:
-// peers leave it out of new answers, but it still takes new requests, because
-// callers hold older answers that name it. When the last such answer has run
-// out it is [Closed] to new requests, and runs what it has to the end. It is
-// [Done] when nothing runs any more; there is no time limit, so that no upload
-// is cut.
+// Shutdown passes through the phases in order. While [Serving], the entry is in
+// the answers to lookups. Once shutdown begins it is [Announced]: its peers
+// omit it from new answers, but it still accepts new requests, because callers
+// hold older answers that contain it. When the last such answer has expired, it
+// is [Closed]: it rejects new requests and completes the running ones. It is
+// [Done] when no request is running; there is no time limit, so that no upload
+// is aborted.
 //
 // # Usage
 //
-//	stop := leaving.Stop{Validity: 10 * time.Second, Spread: 3 * time.Second}
-//	stop.Begin(now)
-//	switch stop.Phase(now, running) {
+//	seq := leaving.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
+//	seq.Begin(now)
+//	switch seq.Phase(now, running) {
 //	case leaving.Closed:
-//		// refuse new requests with result.EntryLeaving
+//		// reject new requests with result.EntryLeaving
 //	case leaving.Done:
 //		// close the listeners and exit
 //	}
--- a/internal/leaving/stop.go
+++ b/internal/leaving/stop.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// Phases of a planned stop, in their order.
+// Phases of graceful shutdown, in order.
 const (
-	// Serving means that no stop has begun.
+	// Serving means that shutdown has not begun.
 	Serving Phase = iota
-	// Announced means that the entry is leaving and still takes new requests.
+	// Announced means that shutdown has begun and the entry still accepts new
+	// requests.
 	Announced
-	// Closed means that the entry takes no new requests.
+	// Closed means that the entry rejects new requests.
 	Closed
-	// Done means that nothing runs any more.
+	// Done means that no request is running any more.
 	Done
 )
 
 type (
-	// Phase is a phase of a planned stop.
+	// Phase is a phase of graceful shutdown.
 	Phase uint8
 
-	// Stop is the planned stop of one entry. The zero Stop has not begun and
-	// doesn't wait for answers to run out. It is not safe for concurrent use.
-	Stop struct {
-		// Validity is the longest time that an answer to a look-up holds.
+	// Sequence is the graceful shutdown of one entry. The zero Sequence has not
+	// begun and doesn't wait for lookup answers to expire. It is not safe for
+	// concurrent use.
+	Sequence struct {
+		// Validity is the longest time that an answer to a lookup is valid.
 		Validity time.Duration
-		// Spread is the longest time until all peers know of the stop; they
-		// may name the entry in answers until then.
-		Spread time.Duration
+		// Propagation is the longest time until all peers are notified of the
+		// shutdown; until then, their answers may contain the entry.
+		Propagation time.Duration
 
 		begun time.Time
 		done  bool
 	}
 )
 
-// Begin begins the stop; later calls do nothing.
-func (s *Stop) Begin(now time.Time) {
+// Begin begins shutdown; later calls do nothing.
+func (s *Sequence) Begin(now time.Time) {
 	if s.begun.IsZero() {
 		s.begun = now
 	}
 }
 
-// ClosesAt returns when the entry stops to take new requests; it is false
-// before Begin.
-func (s *Stop) ClosesAt() (time.Time, bool) {
-	return s.begun.Add(s.Spread + s.Validity), !s.begun.IsZero()
+// ClosesAt returns the time from which the entry rejects new requests; it
+// returns false before Begin.
+func (s *Sequence) ClosesAt() (time.Time, bool) {
+	return s.begun.Add(s.Propagation + s.Validity), !s.begun.IsZero()
 }
 
-// Phase returns the phase at now, with running the number of requests that
-// the entry carries. Once Done it stays Done.
-func (s *Stop) Phase(now time.Time, running int) Phase {
+// Phase returns the phase at now, where running is the number of requests
+// running on the entry. Once it has returned Done, it always returns Done.
+func (s *Sequence) Phase(now time.Time, running int) Phase {
 	closes, begun := s.ClosesAt()
 	switch {
 	case !begun:
--- a/internal/leaving/stop_test.go
+++ b/internal/leaving/stop_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotpier/shallotpier/internal/leaving"
 )
 
-func TestStopPhase(t *testing.T) {
+func TestSequencePhase(t *testing.T) {
 	start := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	tests := map[string]struct {
 		begun   bool
@@ -17,30 +17,30 @@
 		running int
 		want    leaving.Phase
 	}{
-		"not begun":                {after: time.Hour, want: leaving.Serving},
-		"just begun":               {begun: true, want: leaving.Announced},
-		"idle, answers still held": {begun: true, after: 13*time.Second - 1, want: leaving.Announced},
-		"answers run out":          {begun: true, after: 13 * time.Second, running: 1, want: leaving.Closed},
-		"an upload of an hour":     {begun: true, after: time.Hour, running: 1, want: leaving.Closed},
-		"nothing runs":             {begun: true, after: 13 * time.Second, want: leaving.Done},
+		"not begun":                  {after: time.Hour, want: leaving.Serving},
+		"just begun":                 {begun: true, want: leaving.Announced},
+		"idle, answers still valid":  {begun: true, after: 13*time.Second - 1, want: leaving.Announced},
+		"answers expired":            {begun: true, after: 13 * time.Second, running: 1, want: leaving.Closed},
+		"upload running for an hour": {begun: true, after: time.Hour, running: 1, want: leaving.Closed},
+		"no request running":         {begun: true, after: 13 * time.Second, want: leaving.Done},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			stop := leaving.Stop{Validity: 10 * time.Second, Spread: 3 * time.Second}
+			stop := leaving.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
 			if tt.begun {
 				stop.Begin(start)
-				stop.Begin(start.Add(time.Minute)) // a second notice changes nothing
+				stop.Begin(start.Add(time.Minute)) // a second call has no effect
 			}
 			is.Equal(stop.Phase(start.Add(tt.after), tt.running), tt.want)
 		})
 	}
 }
 
-func TestStopStaysDone(t *testing.T) {
+func TestSequenceStaysDone(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
-	var stop leaving.Stop
+	var stop leaving.Sequence
 	stop.Begin(start)
 	is.Equal(stop.Phase(start, 0), leaving.Done)
 	is.Equal(stop.Phase(start, 1), leaving.Done)
