--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -134,6 +134,9 @@
 	if err := adopted(ctx, keepers, 1); err != nil {
 		return changeCost{}, err
 	}
+	if err := waitReady(ctx, keepers); err != nil {
+		return changeCost{}, err
+	}
 	storeBefore, callsBefore, bytesBefore := countCalls(s), 0, 0
 	callsBefore, bytesBefore = network.Sent()
 	if err := putPublication(s, 2); err != nil {
@@ -170,6 +173,23 @@
 	return nil
 }
 
+// waitReady waits until all keepers have finished the reads of their startup. A
+// keeper that gets a version from a peer holds it before its own read has ended.
+func waitReady(ctx context.Context, keepers []*config.Keeper) error {
+	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
+	defer cancel()
+	for _, k := range keepers {
+		for !k.Ready() {
+			select {
+			case <-time.After(time.Millisecond):
+			case <-ctx.Done():
+				return eris.Errorf("a keeper was not ready within %s", adoptTimeout)
+			}
+		}
+	}
+	return nil
+}
+
 func countCalls(s *platform.Store) int {
 	sum := 0
 	for _, n := range s.Counts() {
