--- a/internal/publish/difference.go
+++ b/internal/publish/difference.go
@@ -10,21 +10,21 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// summarised is how many added or removed keys are listed one by one in a
-// summary: as many as fit on half of a screen.
-const summarised = 12
+// maxListedKeys is the largest number of added or removed keys of a service that
+// a summary lists one by one: half a screen.
+const maxListedKeys = 12
 
 type (
 	// Change is one value that differs between two sets of service files.
 	Change struct {
 		// Service is the service whose file differs.
 		Service id.Service `json:"service"`
-		// Key is the dotted key; items of a list are given by name, as in
-		// "servers[api-1].slots". It is empty for a whole file.
+		// Key is the dotted key; list items are identified by name, as in
+		// "servers[api-1].slots", or by index. It is empty for a whole file.
 		Key string `json:"key"`
-		// Old is the value before, in JSON; empty if there was none.
+		// Old is the previous value in JSON; empty if there was none.
 		Old string `json:"old"`
-		// New is the value after, in JSON; empty if there is none.
+		// New is the new value in JSON; empty if there is none.
 		New string `json:"new"`
 	}
 
@@ -32,23 +32,23 @@
 	Difference []Change
 )
 
-// String formats the difference with one change a line.
+// String formats the difference with one change per line.
 func (d Difference) String() string {
 	var b strings.Builder
 	for _, c := range d {
-		fmt.Fprintf(&b, "%s %s: %s -> %s\n", c.Service, c.Key, absent(c.Old), absent(c.New))
+		fmt.Fprintf(&b, "%s %s: %s -> %s\n", c.Service, c.Key, orNone(c.Old), orNone(c.New))
 	}
 	return b.String()
 }
 
-// Summary formats the difference with one change a line for what exists on both
-// sides, and a count of keys for each service that is new or gone.
+// Summary formats the difference with one change per line. A service that was
+// added or removed with many keys gets one line with the number of keys.
 func (d Difference) Summary() string {
 	var b strings.Builder
 	for _, name := range d.services() {
-		of := d.of(name)
+		changes := d.forService(name)
 		added, removed := 0, 0
-		for _, c := range of {
+		for _, c := range changes {
 			switch {
 			case c.Old == "":
 				added++
@@ -57,12 +57,12 @@
 			}
 		}
 		switch {
-		case added == len(of) && added > summarised:
+		case added == len(changes) && added > maxListedKeys:
 			fmt.Fprintf(&b, "%s: new, %d keys\n", name, added)
-		case removed == len(of) && removed > summarised:
-			fmt.Fprintf(&b, "%s: gone, %d keys\n", name, removed)
+		case removed == len(changes) && removed > maxListedKeys:
+			fmt.Fprintf(&b, "%s: removed, %d keys\n", name, removed)
 		default:
-			b.WriteString(of.String())
+			b.WriteString(changes.String())
 		}
 	}
 	return b.String()
@@ -80,7 +80,7 @@
 	return names
 }
 
-func (d Difference) of(name id.Service) Difference {
+func (d Difference) forService(name id.Service) Difference {
 	var out Difference
 	for _, c := range d {
 		if c.Service == name {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// Compare returns what differs from old to new.
+// Compare returns the changes that turn the first set of files into the second.
 func Compare(from, to []service.File) Difference {
 	before, after := flatten(from), flatten(to)
 	keys := make([]Change, 0, len(before))
@@ -117,13 +117,14 @@
 	return diff
 }
 
-// flatten returns the JSON value of every leaf by service and key.
+// flatten returns the JSON value of every leaf, keyed by a Change with service
+// and key only.
 func flatten(files []service.File) map[Change]string {
 	leaves := map[Change]string{}
 	for i := range files {
 		data, err := json.Marshal(&files[i])
 		if err != nil {
-			continue // the types of a service file always encode
+			continue // unreachable: a service file always encodes
 		}
 		var tree any
 		if err := json.Unmarshal(data, &tree); err != nil {
@@ -159,7 +160,7 @@
 	return fmt.Sprint(index)
 }
 
-func absent(value string) string {
+func orNone(value string) string {
 	if value == "" {
 		return "(none)"
 	}
--- a/internal/publish/outcome.go
+++ b/internal/publish/outcome.go
@@ -6,22 +6,23 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// Outcome says what became of a submission.
+// Outcome describes the result of a submission.
 type Outcome struct {
 	// Code is result.Accepted, result.Overtaken, result.RefusedByCheck,
 	// result.StoreUnavailable or result.NotYetKnown.
 	Code result.Code `json:"code"`
-	// Ticket identifies the submission; zero if it never got one.
+	// Ticket identifies the submission; zero if the submission was rejected
+	// before it got one.
 	Ticket Ticket `json:"ticket"`
-	// Winner is the publication that has the version instead, for
-	// result.Overtaken; nil if it could not be read.
+	// Winner is, for result.Overtaken, the publication that has the version;
+	// nil if it could not be read.
 	Winner *Publication `json:"winner,omitempty"`
-	// Difference is, for result.Overtaken, what the winner changed in the
-	// version that the submission was based on.
+	// Difference is, for result.Overtaken, the winner's changes relative to
+	// the version that the submission was based on.
 	Difference Difference `json:"difference,omitempty"`
 	// Problems are the reasons of result.RefusedByCheck.
 	Problems []Problem `json:"problems,omitempty"`
-	// Cause is the last error of the store, if one decided the outcome.
+	// Cause is the last store error, if an error decided the outcome.
 	Cause string `json:"cause,omitempty"`
 }
 
@@ -41,6 +42,6 @@
 	case result.StoreUnavailable:
 		return fmt.Sprintf("not accepted: the store is unavailable and nothing was written: %s", o.Cause)
 	default:
-		return fmt.Sprintf("not yet known whether it was accepted; ask again with ticket %s", o.Ticket)
+		return fmt.Sprintf("not yet known whether it was accepted; query it again with ticket %s", o.Ticket)
 	}
 }
--- a/internal/publish/publication.go
+++ b/internal/publish/publication.go
@@ -16,48 +16,49 @@
 
 // Keys in the platform's store.
 const (
-	// CurrentKey holds the publication in force.
+	// CurrentKey is the key of the active publication.
 	CurrentKey = "config/current"
-	// HistoryPrefix is followed by the version of a replaced publication.
+	// HistoryPrefix is the key prefix of replaced publications; the version
+	// follows it.
 	HistoryPrefix = "config/history/"
 )
 
-// KeptVersions is how many replaced versions stay in the history.
+// KeptVersions is the number of replaced versions that are kept in the history.
 const KeptVersions = 1000
 
 type (
-	// ID identifies one publication; it is never used twice.
+	// ID identifies one publication and is never reused.
 	ID string
 
 	// Publication is the whole set of service files under one version. It is
 	// immutable.
 	Publication struct {
-		// ID is the publication's own id.
+		// ID is the publication's id.
 		ID ID `json:"id"`
 		// Version is its version, 1 or above.
 		Version id.Version `json:"version"`
-		// Author is who published it.
+		// Author names the operator who published it.
 		Author string `json:"author"`
-		// At is when it was prepared, by the author's clock.
+		// At is the time of preparation by the author's clock.
 		At time.Time `json:"at"`
-		// Files holds the service files by service name.
+		// Files holds the service files, sorted by service name.
 		Files []service.File `json:"files"`
 	}
 
-	// Ticket identifies a submission and the version that it tries to be.
+	// Ticket identifies a submission and the version that it competes for.
 	Ticket struct {
 		// ID is the publication's id.
 		ID ID `json:"id"`
-		// Version is the version that the publication has if it is accepted.
+		// Version is the version of the publication if it is accepted.
 		Version id.Version `json:"version"`
 	}
 
-	// plain is a Publication without its own decoding.
+	// plain is a Publication without its UnmarshalJSON method.
 	plain Publication
 )
 
-// UnmarshalJSON decodes and checks a publication. Keys that are not known are
-// ignored, so that an older entry can read what a newer one published.
+// UnmarshalJSON decodes and validates a publication. Unknown keys are ignored, so
+// that an entry of an older release can read publications of a newer one.
 func (p *Publication) UnmarshalJSON(data []byte) error {
 	if err := json.Unmarshal(data, (*plain)(p)); err != nil {
 		return err
@@ -72,7 +73,7 @@
 			return eris.Wrapf(problem, "service %s", f.Service)
 		}
 		if seen[f.Service] {
-			return eris.Errorf("service %s is there twice", f.Service)
+			return eris.Errorf("service %s appears twice", f.Service)
 		}
 		seen[f.Service] = true
 	}
@@ -87,11 +88,11 @@
 
 // UnmarshalText decodes "version/id".
 func (t *Ticket) UnmarshalText(text []byte) error {
-	version, own, ok := strings.Cut(string(text), "/")
-	if _, err := fmt.Sscanf(version, "%d", &t.Version); !ok || err != nil || own == "" || t.Version == 0 {
-		return eris.Errorf("ticket %q: want a form such as 7/0123abcd", text)
+	version, ownID, ok := strings.Cut(string(text), "/")
+	if _, err := fmt.Sscanf(version, "%d", &t.Version); !ok || err != nil || ownID == "" || t.Version == 0 {
+		return eris.Errorf("ticket %q: must be VERSION/ID, such as 7/0123abcd", text)
 	}
-	t.ID = ID(own)
+	t.ID = ID(ownID)
 	return nil
 }
 
@@ -107,8 +108,8 @@
 	return p, nil
 }
 
-// merge returns base's files with those of the submission in their place, by
-// service name.
+// merge applies a submission to the base's files: it replaces or adds the
+// submitted files, drops the removed services and sorts by service name.
 func merge(base []service.File, s Submission) []service.File {
 	files := slices.DeleteFunc(slices.Clone(base), func(f service.File) bool {
 		replaced := slices.ContainsFunc(s.Files, func(g service.File) bool { return g.Service == f.Service })
--- a/internal/publish/publisher.go
+++ b/internal/publish/publisher.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	pause   = 200 * time.Millisecond
-	idBytes = 16
+	retryInterval = 200 * time.Millisecond
+	idBytes       = 16
 )
 
 type (
@@ -26,43 +26,43 @@
 	Publisher struct {
 		// Store is the platform's store.
 		Store store.Store
-		// Author names who publishes.
+		// Author names the operator who publishes.
 		Author string
-		// Rules check submissions.
+		// Rules validate submissions.
 		Rules Rules
 	}
 
-	// Submission is what an operator wants to change.
+	// Submission is an operator's change of the service files.
 	Submission struct {
 		// Files replace those of the same service.
 		Files []service.File
 		// Remove lists services to be removed.
 		Remove []id.Service
-		// Base is the version that the operator worked on; 0 means whatever
-		// is in force when the submission is prepared.
+		// Base is the version that the operator edited; 0 means the version
+		// that is active when the submission is prepared.
 		Base id.Version
 	}
 
-	// Draft is a prepared submission, of which nothing is written yet.
+	// Draft is a prepared submission. Preparing writes nothing to the store.
 	Draft struct {
 		// Ticket identifies the submission.
 		Ticket Ticket
-		// Next is the publication that it would be.
+		// Next is the publication to be written.
 		Next *Publication
-		// Base is the publication that it would replace; nil for the first.
+		// Base is the publication to be replaced; nil if there is none.
 		Base *Publication
-		// Difference is what it changes in Base.
+		// Difference holds the changes from Base to Next.
 		Difference Difference
 
-		base   store.Object
-		value  []byte
-		unsure bool
+		base      store.Object
+		value     []byte
+		ambiguous bool // a write may have taken effect
 	}
 )
 
-// Prepare checks a submission against the version in force. It writes nothing,
-// and returns either a draft or why there is none. It waits for the store
-// until ctx ends.
+// Prepare validates a submission against the active version. It writes nothing
+// and returns either a draft or the outcome that prevents it. It retries reads
+// from the store until ctx ends.
 func (p *Publisher) Prepare(ctx context.Context, s Submission) (*Draft, *Outcome) {
 	d := new(Draft)
 	version := id.Version(1)
@@ -79,7 +79,7 @@
 	if d.Base != nil {
 		files = d.Base.Files
 		if s.Base != 0 && s.Base != d.Base.Version {
-			return nil, p.overtakenBefore(ctx, s.Base, d.Base)
+			return nil, p.staleBase(ctx, s.Base, d.Base)
 		}
 	}
 	next := &Publication{ID: newID(), Version: version, Author: p.Author, At: time.Now().UTC(), Files: merge(files, s)}
@@ -88,7 +88,7 @@
 	}
 	value, err := json.Marshal(next)
 	if err == nil && len(value) > store.MaxValue {
-		err = fmt.Errorf("all service files together have %d bytes, the store takes %d", len(value), store.MaxValue)
+		err = fmt.Errorf("all service files together have %d bytes; the store accepts at most %d", len(value), store.MaxValue)
 	}
 	if err != nil {
 		return nil, &Outcome{Code: result.RefusedByCheck, Problems: []Problem{{Text: err.Error()}}}
@@ -97,24 +97,24 @@
 	return d, nil
 }
 
-// Submit tries to put a draft in force. It goes on until the outcome is
-// certain or ctx ends. A draft may be submitted again.
+// Submit tries to make a draft the active version. It retries until the outcome
+// is certain or ctx ends. A draft may be submitted again.
 func (p *Publisher) Submit(ctx context.Context, d *Draft) *Outcome {
-	if o := p.keepBase(ctx, d); o != nil {
+	if o := p.archiveBase(ctx, d); o != nil {
 		return o
 	}
 	for {
 		_, err := p.Store.Put(ctx, CurrentKey, d.value, d.condition())
 		switch {
 		case err == nil:
-			p.keep(ctx, d)
+			p.archive(ctx, d)
 			return &Outcome{Code: result.Accepted, Ticket: d.Ticket}
-		case errors.Is(err, store.ErrConflict) && !d.unsure:
+		case errors.Is(err, store.ErrConflict) && !d.ambiguous:
 			return p.overtaken(ctx, d)
 		case errors.Is(err, store.ErrAmbiguous):
-			d.unsure = true
+			d.ambiguous = true
 		}
-		if d.unsure {
+		if d.ambiguous {
 			if o := p.find(ctx, d.Ticket, d.Base); o != nil {
 				return o
 			}
@@ -125,10 +125,11 @@
 	}
 }
 
-// Find tells what became of a submission, also of one whose publisher died.
-// While the version in force is older than the ticket's, the submission's
-// write may still be on its way, and the answer is result.NotYetKnown; also
-// when the ticket's version is no longer kept.
+// Find returns the outcome of a submission, even if its publisher has crashed. It
+// polls the store until the outcome is certain. If ctx ends first, the outcome is
+// result.NotYetKnown: the active version is older than the ticket's, so that the
+// write may still be in flight, or the ticket's version is no longer kept, or
+// the store is unavailable.
 func (p *Publisher) Find(ctx context.Context, t Ticket) *Outcome {
 	for {
 		if o := p.find(ctx, t, nil); o != nil {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Current returns the publication in force.
+// Current returns the active publication.
 func (p *Publisher) Current(ctx context.Context) (*Publication, error) {
 	o, err := p.Store.Get(ctx, CurrentKey)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return Decode(o)
 }
 
-// Version returns a publication by version, also one that was replaced.
+// Version returns the active publication or a replaced one by its version.
 func (p *Publisher) Version(ctx context.Context, v id.Version) (*Publication, error) {
 	current, err := p.Current(ctx)
 	if err != nil || current.Version == v {
@@ -162,8 +163,8 @@
 	return Decode(o)
 }
 
-// History returns the publications that are kept, oldest first; the last is
-// the one in force.
+// History returns the publications that are kept, oldest first; the last is the
+// active one.
 func (p *Publisher) History(ctx context.Context) ([]*Publication, error) {
 	current, err := p.Current(ctx)
 	if err != nil {
@@ -186,7 +187,7 @@
 	return append(all, current), nil
 }
 
-// readBase reads the version in force and the version that comes after it.
+// readBase reads the active publication into d and sets version to the next one.
 func (p *Publisher) readBase(ctx context.Context, d *Draft, version *id.Version) error {
 	o, err := p.Store.Get(ctx, CurrentKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -203,8 +204,9 @@
 	return nil
 }
 
-// readHighest finds the version after the highest that was ever replaced, in
-// case the object in force was removed by hand.
+// readHighest sets version to the one after the highest in the history. It is
+// used when there is no active publication, possibly because an operator has
+// removed the object.
 func (p *Publisher) readHighest(ctx context.Context, version *id.Version) error {
 	objects, err := p.Store.List(ctx, HistoryPrefix)
 	if err != nil || len(objects) == 0 {
@@ -218,8 +220,8 @@
 	return nil
 }
 
-// keepBase writes the history of the version that is to be replaced.
-func (p *Publisher) keepBase(ctx context.Context, d *Draft) *Outcome {
+// archiveBase writes the history entry of the version to be replaced.
+func (p *Publisher) archiveBase(ctx context.Context, d *Draft) *Outcome {
 	if d.Base == nil {
 		return nil
 	}
@@ -234,16 +236,17 @@
 	}
 }
 
-// keep writes the history of an accepted draft and prunes the oldest version.
-// If it fails, the next publisher writes the history.
-func (p *Publisher) keep(ctx context.Context, d *Draft) {
+// archive writes the history entry of an accepted draft and prunes the oldest
+// version. If it fails, the next publisher writes the entry in archiveBase.
+func (p *Publisher) archive(ctx context.Context, d *Draft) {
 	_, _ = p.Store.Put(ctx, HistoryKey(d.Next.Version), d.value, store.IfAbsent())
 	if d.Next.Version > KeptVersions {
 		_ = p.Store.Delete(ctx, HistoryKey(d.Next.Version-KeptVersions), store.Condition{})
 	}
 }
 
-// find returns nil while the store doesn't show who has the ticket's version.
+// find returns the outcome of the ticket's submission, or nil while the store
+// doesn't show which publication has the ticket's version.
 func (p *Publisher) find(ctx context.Context, t Ticket, base *Publication) *Outcome {
 	holder, err := p.Current(ctx)
 	if err != nil || holder.Version < t.Version {
@@ -261,10 +264,11 @@
 	if holder.ID == t.ID {
 		return &Outcome{Code: result.Accepted, Ticket: t}
 	}
-	return lost(t, base, holder)
+	return overtakenBy(t, base, holder)
 }
 
-// overtaken names the winner, as far as the store answers before ctx ends.
+// overtaken returns the outcome of an overtaken draft, with the winner if the
+// store answers before ctx ends.
 func (p *Publisher) overtaken(ctx context.Context, d *Draft) *Outcome {
 	for {
 		if o := p.find(ctx, d.Ticket, d.Base); o != nil {
@@ -276,9 +280,9 @@
 	}
 }
 
-// overtakenBefore is for a submission that was based on an older version than
-// the one in force.
-func (p *Publisher) overtakenBefore(ctx context.Context, base id.Version, current *Publication) *Outcome {
+// staleBase returns the outcome of a submission that is based on a version other
+// than the active one.
+func (p *Publisher) staleBase(ctx context.Context, base id.Version, current *Publication) *Outcome {
 	o := &Outcome{Code: result.Overtaken, Ticket: Ticket{Version: base + 1}, Winner: current}
 	if old, err := p.Version(ctx, base); err == nil {
 		o.Difference = Compare(old.Files, current.Files)
@@ -286,7 +290,7 @@
 	return o
 }
 
-func lost(t Ticket, base, winner *Publication) *Outcome {
+func overtakenBy(t Ticket, base, winner *Publication) *Outcome {
 	o := &Outcome{Code: result.Overtaken, Ticket: t, Winner: winner}
 	if base != nil {
 		o.Difference = Compare(base.Files, winner.Files)
@@ -303,10 +307,10 @@
 	return store.IfVersion(d.base.Version)
 }
 
-// undecided is the outcome when time runs out.
+// undecided returns the outcome when ctx ends before the store has confirmed one.
 func (d *Draft) undecided(cause error) *Outcome {
 	o := &Outcome{Code: result.StoreUnavailable, Ticket: d.Ticket, Cause: cause.Error()}
-	if d.unsure {
+	if d.ambiguous {
 		o.Code = result.NotYetKnown
 	}
 	return o
@@ -318,10 +322,11 @@
 	return ID(hex.EncodeToString(b[:]))
 }
 
-// wait pauses with jitter; it returns false if ctx ends first.
+// wait waits for the retry interval with jitter; it returns false if ctx ends
+// first.
 func wait(ctx context.Context) bool {
 	select {
-	case <-time.After(pause/2 + rand.N(pause)):
+	case <-time.After(retryInterval/2 + rand.N(retryInterval)):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/publish/publisher_test.go
+++ b/internal/publish/publisher_test.go
@@ -41,85 +41,85 @@
 	return publish.Submission{Files: []service.File{file("registry", slots)}}
 }
 
-// belief is what a publisher holds for true in the end.
-type belief struct {
+// attempt is a submission with the outcome that its publisher observed.
+type attempt struct {
 	draft   *publish.Draft
 	outcome *publish.Outcome
 }
 
-// run publishes once, for at most the given time.
-func run(s store.Store, name string, slots int, limit time.Duration) belief {
+// run publishes once and stops after the given time.
+func run(s store.Store, name string, slots int, limit time.Duration) attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	p := &publish.Publisher{Store: s, Author: name}
 	draft, out := p.Prepare(ctx, submission(slots))
 	if out != nil {
-		return belief{nil, out}
+		return attempt{nil, out}
 	}
-	return belief{draft, p.Submit(ctx, draft)}
+	return attempt{draft, p.Submit(ctx, draft)}
 }
 
-// verify holds the beliefs against what the store really has.
-func verify(t *testing.T, s *platform.Store, beliefs []belief) {
+// verify compares the observed outcomes with the content of the store.
+func verify(t *testing.T, s *platform.Store, attempts []attempt) {
 	t.Helper()
 	is := is.New(t)
 	s.SetHook(nil)
-	time.Sleep(time.Hour) // writes still on their way land
+	time.Sleep(time.Hour) // writes in flight take effect
 	p := &publish.Publisher{Store: s}
 	all, err := p.History(t.Context())
 	is.NoErr(err)
-	holders := map[publish.ID]id.Version{}
+	versions := map[publish.ID]id.Version{}
 	for i, pub := range all {
-		is.Equal(pub.Version, id.Version(i+1)) // each version has one holder and none is missing
-		_, twice := holders[pub.ID]
-		is.True(!twice) // no publication has two versions
-		holders[pub.ID] = pub.Version
+		is.Equal(pub.Version, id.Version(i+1)) // the versions are consecutive, each with one publication
+		_, duplicate := versions[pub.ID]
+		is.True(!duplicate) // no publication has two versions
+		versions[pub.ID] = pub.Version
 	}
-	for _, b := range beliefs {
-		if b.draft == nil {
+	for _, a := range attempts {
+		if a.draft == nil {
 			continue
 		}
-		version, holds := holders[b.draft.Ticket.ID]
-		is.True(!holds || version == b.draft.Ticket.Version)
-		switch b.outcome.Code {
+		version, published := versions[a.draft.Ticket.ID]
+		is.True(!published || version == a.draft.Ticket.Version)
+		switch a.outcome.Code {
 		case result.Accepted:
-			is.True(holds)
+			is.True(published)
 		case result.NotYetKnown:
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			found := p.Find(ctx, b.draft.Ticket)
+			found := p.Find(ctx, a.draft.Ticket)
 			cancel()
-			is.Equal(found.Code == result.Accepted, holds)
-			if !holds && all[len(all)-1].Version >= b.draft.Ticket.Version {
+			is.Equal(found.Code == result.Accepted, published)
+			if !published && all[len(all)-1].Version >= a.draft.Ticket.Version {
 				is.Equal(found.Code, result.Overtaken)
 			}
 		default:
-			is.True(!holds)
+			is.True(!published)
 		}
-		if b.outcome.Code == result.Overtaken && b.outcome.Winner != nil {
-			is.Equal(holders[b.outcome.Winner.ID], b.outcome.Winner.Version)
+		if a.outcome.Code == result.Overtaken && a.outcome.Winner != nil {
+			is.Equal(versions[a.outcome.Winner.ID], a.outcome.Winner.Version)
 		}
 	}
 }
 
-func TestFirstAndNextVersion(t *testing.T) {
+func TestVersionsAreConsecutiveAndStaleBaseIsOvertaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := new(platform.Store)
 		is.Equal(run(s, "nino", 6, time.Second).outcome.Code, result.Accepted)
-		b := run(s, "giorgi", 7, time.Second)
-		is.Equal(b.outcome.String(), "accepted as version 2")
-		is.Equal(b.draft.Difference[0], publish.Change{Service: "registry", Key: "servers[s-1].slots", Old: "6", New: "7"})
-		is.Equal(len(b.draft.Difference), 2)
+		a := run(s, "giorgi", 7, time.Second)
+		is.Equal(a.outcome.String(), "accepted as version 2")
+		is.Equal(a.draft.Difference[0], publish.Change{Service: "registry", Key: "servers[s-1].slots", Old: "6", New: "7"})
+		is.Equal(len(a.draft.Difference), 2)
 		p := &publish.Publisher{Store: s, Author: "late"}
 		_, out := p.Prepare(t.Context(), publish.Submission{Remove: []id.Service{"registry"}, Base: 1})
 		is.Equal(out.Code, result.Overtaken)
 		is.Equal(out.Winner.Author, "giorgi")
 		is.Equal(len(out.Difference), 2)
-		verify(t, s, []belief{b})
+		verify(t, s, []attempt{a})
 	})
 }
 
-func TestPublishersAtTheSameMoment(t *testing.T) {
+func TestOneOfConcurrentPublishersIsAccepted(t *testing.T) {
 	for _, n := range []int{2, 10} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -127,34 +127,35 @@
 				s := new(platform.Store)
 				first := run(s, "first", 1, time.Second)
 				s.SetFault(platform.Fault{Delay: unit.Duration(5 * time.Millisecond)}) // so that all of them prepare on version 1
-				beliefs := make([]belief, n)
+				attempts := make([]attempt, n)
 				done := make(chan int)
 				for i := range n {
-					go func() { beliefs[i] = run(s, fmt.Sprint("p", i), i+2, time.Minute); done <- i }()
+					go func() { attempts[i] = run(s, fmt.Sprint("p", i), i+2, time.Minute); done <- i }()
 				}
 				for range n {
 					<-done
 				}
 				accepted := 0
-				for _, b := range beliefs {
-					if b.outcome.Code == result.Accepted {
+				for _, a := range attempts {
+					if a.outcome.Code == result.Accepted {
 						accepted++
 						continue
 					}
-					is.Equal(b.outcome.Code, result.Overtaken)
-					is.Equal(b.outcome.Winner.Version, id.Version(2))
-					is.True(len(b.outcome.Difference) > 0)
+					is.Equal(a.outcome.Code, result.Overtaken)
+					is.Equal(a.outcome.Winner.Version, id.Version(2))
+					is.True(len(a.outcome.Difference) > 0)
 				}
 				is.Equal(accepted, 1)
-				verify(t, s, append(beliefs, first))
+				verify(t, s, append(attempts, first))
 			})
 		})
 	}
 }
 
-// TestFaultAtEveryCall puts one fault, or the end of the process, at every
-// call of one publisher while others publish.
-func TestFaultAtEveryCall(t *testing.T) {
+// TestOutcomeAgreesWithStoreForFaultAtEveryCall injects a fault at each store call
+// of one publisher, with and without a crash of the publisher at that call, while
+// others publish.
+func TestOutcomeAgreesWithStoreForFaultAtEveryCall(t *testing.T) {
 	faults := map[string]platform.Fault{
 		"down":        {Down: true},
 		"answer lost": {Lost: true},
@@ -168,7 +169,7 @@
 			t.Run(fmt.Sprintf("%s/%d", name, publishers), func(t *testing.T) {
 				for call := range maxCalls {
 					for _, killed := range []bool{false, true} {
-						synctest.Test(t, func(t *testing.T) { faultAt(t, fault, publishers, call, killed) })
+						synctest.Test(t, func(t *testing.T) { injectFault(t, fault, publishers, call, killed) })
 					}
 				}
 			})
@@ -176,11 +177,11 @@
 	}
 }
 
-func faultAt(t *testing.T, fault platform.Fault, publishers, call int, killed bool) {
+func injectFault(t *testing.T, fault platform.Fault, publishers, call int, killed bool) {
 	s := new(platform.Store)
 	time.Sleep(time.Hour)
-	beliefs := []belief{run(s, "before", 1, time.Second)}
-	time.Sleep(10 * time.Second) // an older state is the one before any version
+	attempts := []attempt{run(s, "before", 1, time.Second)}
+	time.Sleep(10 * time.Second) // a read with the staleness fault finds no publication
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	calls := 0
@@ -197,7 +198,7 @@
 		}
 		return fault
 	})
-	done := make(chan belief)
+	done := make(chan attempt)
 	for i := range publishers {
 		name := fmt.Sprint("p", i)
 		go func() {
@@ -209,20 +210,20 @@
 		}()
 	}
 	for range publishers {
-		if b := <-done; !killed || b.draft == nil || b.draft.Next.Author != "p0" {
-			beliefs = append(beliefs, b)
+		if a := <-done; !killed || a.draft == nil || a.draft.Next.Author != "p0" {
+			attempts = append(attempts, a)
 		} else {
-			// All that is left of the killed publisher is its ticket.
-			beliefs = append(beliefs, belief{b.draft, &publish.Outcome{Code: result.NotYetKnown}})
+			// Only the ticket of the killed publisher is known.
+			attempts = append(attempts, attempt{a.draft, &publish.Outcome{Code: result.NotYetKnown}})
 		}
 	}
 	s.SetHook(nil)
 	time.Sleep(time.Hour)
-	beliefs = append(beliefs, run(s, "after", 50, time.Minute)) // replaces a version that its publisher may not have kept
-	verify(t, s, beliefs)
+	attempts = append(attempts, run(s, "after", 50, time.Minute)) // replaces a version whose publisher may not have archived it
+	verify(t, s, attempts)
 }
 
-// killable makes no further call once its context has ended.
+// killable makes no store calls after the context killed has ended.
 type killable struct {
 	platform.Client
 	killed context.Context
@@ -242,7 +243,7 @@
 	return k.Client.Put(ctx, key, value, cond)
 }
 
-func TestLastingOutageSaysThatNothingWasWritten(t *testing.T) {
+func TestOutcomeDuringOutageAndAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := new(platform.Store)
@@ -264,24 +265,24 @@
 	})
 }
 
-func TestSubmissionThatBreaksAPromiseIsRefused(t *testing.T) {
+func TestPrepareRefusesSubmissionThatViolatesARule(t *testing.T) {
 	region := func(zone id.Zone) (id.Region, bool) {
 		name, _, ok := strings.Cut(string(zone), "-")
 		return id.Region(name), ok
 	}
-	use := func(id.Service, id.Region) (int, bool) { return 3, true }
+	inUse := func(id.Service, id.Region) (int, bool) { return 3, true }
 	tests := map[string]struct {
 		rules  publish.Rules
 		change func(*service.File)
 		key    string
 	}{
-		"nothing wrong":         {publish.Rules{Region: region, Entries: 7, InUse: use}, func(*service.File) {}, ""},
-		"drain under deadline":  {publish.Rules{}, func(f *service.File) { f.DrainTime = 1 }, "drainTime"},
+		"valid":                 {publish.Rules{Region: region, Entries: 7, InUse: inUse}, func(*service.File) {}, ""},
+		"drain below deadline":  {publish.Rules{}, func(f *service.File) { f.DrainTime = 1 }, "drainTime"},
 		"cap can't be divided":  {publish.Rules{Entries: 11}, func(*service.File) {}, "shiftCap"},
 		"unknown zone":          {publish.Rules{Region: region}, func(f *service.File) { f.Servers[0].Zone = "nowhere" }, "servers.zone"},
-		"no server stays":       {publish.Rules{Region: region}, func(f *service.File) { f.Servers[0].Leaving, f.Servers[1].Leaving = true, true }, "regions.headroomFloor"},
-		"floor after the drain": {publish.Rules{Region: region, InUse: use}, func(f *service.File) { f.Servers[0].Leaving = true }, "regions.headroomFloor"},
-		"a file's own check":    {publish.Rules{}, func(f *service.File) { f.Retry.Attempts = 0 }, "retry.attempts"},
+		"all servers leaving":   {publish.Rules{Region: region}, func(f *service.File) { f.Servers[0].Leaving, f.Servers[1].Leaving = true, true }, "regions.headroomFloor"},
+		"floor after the drain": {publish.Rules{Region: region, InUse: inUse}, func(f *service.File) { f.Servers[0].Leaving = true }, "regions.headroomFloor"},
+		"invalid file":          {publish.Rules{}, func(f *service.File) { f.Retry.Attempts = 0 }, "retry.attempts"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -290,7 +291,7 @@
 			f := file("registry", 6)
 			test.change(&f)
 			p := &publish.Publisher{Store: s, Rules: test.rules}
-			// One bad file keeps the good one from counting, too.
+			// One invalid file rejects the whole submission.
 			_, out := p.Prepare(t.Context(), publish.Submission{Files: []service.File{file("evidence", 3), f}})
 			if test.key == "" {
 				is.True(out == nil)
--- a/internal/publish/summary_test.go
+++ b/internal/publish/summary_test.go
@@ -18,7 +18,7 @@
 	return d
 }
 
-func TestSummary(t *testing.T) {
+func TestSummaryCountsKeysOfAddedServices(t *testing.T) {
 	changed := publish.Difference{{Service: "vault", Key: "drainTime", Old: "1", New: "2"}}
 	few := added("vault", 2)
 	tests := map[string]struct {
@@ -30,7 +30,7 @@
 		"new and changed":        {append(added("registry", 130), changed...), "registry: new, 130 keys\n" + changed.String()},
 		"few new keys":           {few, few.String()},
 		"many keys, one changed": {append(added("vault", 20), changed...), added("vault", 20).String() + changed.String()},
-		"nothing":                {nil, ""},
+		"no difference":          {nil, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
