--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -8,27 +8,28 @@
 )
 
 type (
-	// Change is a change of an object. Of an object that is gone, only the key
-	// and the version of the change are certain.
+	// Change is a change of an object. If the object was removed, only the key
+	// and the version of the change are set reliably.
 	Change struct {
 		Object
-		// Removed tells that it is gone.
+		// Removed reports that the object was removed.
 		Removed bool
 	}
 
-	// Feed gives the objects of one kind and their changes. The store draws the
-	// versions of all its objects from one counter, so they order the changes.
+	// Feed provides the objects of one kind and their changes. All objects of
+	// the store share one version counter, so versions order the changes.
 	// Implementations are safe for concurrent use.
 	Feed interface {
-		// All returns the objects, and the version of the store's newest change
-		// that they include.
+		// All returns the objects, and the version of the latest change that
+		// they include.
 		All(ctx context.Context) ([]Object, Version, error)
-		// Changes returns what changed after a version, as soon as anything has
-		// or when wait has passed, and the version up to which that is all. It
-		// returns ErrCompacted if the store has forgotten changes since.
+		// Changes returns the changes after a version, and the version up to
+		// which they are complete. It returns as soon as there is a change, or
+		// when wait has passed. It returns ErrCompacted if the store has
+		// discarded changes after the version.
 		Changes(ctx context.Context, after Version, wait time.Duration) ([]Change, Version, error)
 	}
 )
 
-// ErrCompacted means that the store has forgotten the changes that were asked for.
-var ErrCompacted = eris.New("history of the store is gone")
+// ErrCompacted means that the store has discarded some of the requested changes.
+var ErrCompacted = eris.New("history of the store has been compacted")
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -10,13 +10,13 @@
 const MaxValue = 1 << 20
 
 type (
-	// Version numbers the states of one object. The zero Version means that
-	// the object is absent.
+	// Version is the version number of an object; each write increases it. The
+	// zero Version means that the object is absent.
 	Version uint64
 
 	// Object is a value with its version.
 	Object struct {
-		// Key names the object; segments are separated by slashes.
+		// Key identifies the object; its segments are separated by slashes.
 		Key string `json:"key"`
 		// Version is the version of the value.
 		Version Version `json:"version"`
@@ -24,15 +24,15 @@
 		Value []byte `json:"value"`
 	}
 
-	// Condition is what must hold for a write to take effect. The zero
-	// Condition always holds.
+	// Condition is the precondition of a write. The zero Condition always
+	// holds.
 	Condition struct {
 		set     bool
 		version Version
 	}
 
 	// Store is the platform's object store. Implementations are safe for
-	// concurrent use, and return the errors of this package, wrapped.
+	// concurrent use and wrap the errors of this package.
 	Store interface {
 		// Get returns the object under key, or ErrNotFound.
 		Get(ctx context.Context, key string) (Object, error)
@@ -40,22 +40,23 @@
 		Put(ctx context.Context, key string, value []byte, cond Condition) (Version, error)
 		// Delete removes the object if the condition holds.
 		Delete(ctx context.Context, key string, cond Condition) error
-		// List returns all objects whose key starts with prefix, by key.
+		// List returns all objects whose key starts with prefix, sorted by key.
 		List(ctx context.Context, prefix string) ([]Object, error)
-		// Watch returns the object under key as soon as its version is not
-		// seen, or ErrUnavailable when the store ends the wait unchanged.
+		// Watch returns the object under key as soon as its version differs
+		// from seen, or ErrUnavailable when the store ends the wait without a
+		// change.
 		Watch(ctx context.Context, key string, seen Version) (Object, error)
 	}
 )
 
-// Errors of the calls of a Store; compare with errors.Is.
+// Errors of the methods of a Store; compare with errors.Is.
 var (
 	// ErrNotFound means that there is no object under the key.
 	ErrNotFound = eris.New("object not found")
 	// ErrConflict means that the condition did not hold.
-	ErrConflict = eris.New("object has another version")
-	// ErrUnavailable means that the store could not be asked and that a write
-	// did not take effect.
+	ErrConflict = eris.New("condition of the write does not hold")
+	// ErrUnavailable means that the store gave no result and that a write did
+	// not take effect.
 	ErrUnavailable = eris.New("store unavailable")
 	// ErrAmbiguous means that a write may have taken effect.
 	ErrAmbiguous = eris.New("write may have taken effect")
@@ -67,10 +68,10 @@
 // IfAbsent holds while there is no object under the key.
 func IfAbsent() Condition { return Condition{set: true} }
 
-// Holds tells whether the condition holds for the current version, which is 0
+// Holds reports whether the condition holds for the current version, which is 0
 // for an absent object.
 func (c Condition) Holds(current Version) bool { return !c.set || c.version == current }
 
-// Required returns the version that the condition asks for, 0 for absence, and
+// Required returns the version that the condition requires, 0 for absence, and
 // false if it always holds.
 func (c Condition) Required() (Version, bool) { return c.version, c.set }
