--- a/internal/store/httpstore/client.go
+++ b/internal/store/httpstore/client.go
@@ -26,16 +26,18 @@
 )
 
 type (
-	// Client is the platform's object store. It is safe for concurrent use.
+	// Client is a client of the platform's object store. It is safe for
+	// concurrent use.
 	Client struct {
 		// Base is the store's URL without a trailing slash.
 		Base string
 		// HTTP makes the calls; nil means http.DefaultClient.
 		HTTP *http.Client
-		// Timeout bounds a call, and a watch's answer after its wait; 0 means
-		// 2 s.
+		// Timeout bounds a call; a watch may take as long after its wait. 0
+		// means 2 s.
 		Timeout time.Duration
-		// Wait is how long a watch waits at the store; 0 means 30 s.
+		// Wait is how long the store holds a watch without a change; 0 means
+		// 30 s.
 		Wait time.Duration
 	}
 
@@ -78,7 +80,7 @@
 	return err
 }
 
-// List returns all objects whose key starts with prefix, by key.
+// List returns all objects whose key starts with prefix, sorted by key.
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout())
 	defer cancel()
@@ -97,8 +99,8 @@
 	return all, nil
 }
 
-// Watch returns the object as soon as its version is not seen, and
-// ErrUnavailable when the store ends the wait unchanged.
+// Watch returns the object under key as soon as its version differs from seen, and
+// ErrUnavailable when the store ends the wait without a change.
 func (c *Client) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
 	wait := c.Wait
 	if wait == 0 {
@@ -147,8 +149,8 @@
 	}
 }
 
-// call returns whether a connection was there to carry the request, also when
-// it failed.
+// call sends a request and also reports, even on failure, whether a connection was
+// available to send it.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, value []byte, limit int64) (answer, bool, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -199,7 +201,7 @@
 	}
 }
 
-func (a answer) unexpected() error { return eris.Errorf("store answered with status %d", a.status) }
+func (a answer) unexpected() error { return eris.Errorf("store returned status %d", a.status) }
 
 func unavailable(err error) error { return eris.Wrap(store.ErrUnavailable, err.Error()) }
 
--- a/internal/store/httpstore/client_test.go
+++ b/internal/store/httpstore/client_test.go
@@ -27,7 +27,7 @@
 	return s, i, &httpstore.Client{Base: srv.URL, HTTP: srv.Client()}
 }
 
-func TestConditions(t *testing.T) {
+func TestWritesRespectConditions(t *testing.T) {
 	is := is.New(t)
 	_, _, c := serve(t)
 	ctx := t.Context()
@@ -52,20 +52,20 @@
 	is.NoErr(c.Delete(ctx, key, store.IfVersion(w)))
 	x, err := c.Put(ctx, key, nil, store.IfAbsent())
 	is.NoErr(err)
-	is.True(x > w) // a version is never used twice for a key
+	is.True(x > w) // a version is never reused for a key
 }
 
-func TestEndOfWrites(t *testing.T) {
+func TestFailedWriteIsAmbiguous(t *testing.T) {
 	tests := map[string]struct {
 		fault   platform.Fault
 		timeout time.Duration
 		want    error
 		wrote   bool
 	}{
-		"answer lost":    {fault: platform.Fault{Lost: true}, want: store.ErrAmbiguous, wrote: true},
-		"outage":         {fault: platform.Fault{Down: true}, want: store.ErrAmbiguous},
-		"slow":           {fault: platform.Fault{Delay: unit.Duration(200 * time.Millisecond)}, timeout: 20 * time.Millisecond, want: store.ErrAmbiguous, wrote: true},
-		"nothing broken": {wrote: true},
+		"answer lost": {fault: platform.Fault{Lost: true}, want: store.ErrAmbiguous, wrote: true},
+		"outage":      {fault: platform.Fault{Down: true}, want: store.ErrAmbiguous},
+		"slow":        {fault: platform.Fault{Delay: unit.Duration(200 * time.Millisecond)}, timeout: 20 * time.Millisecond, want: store.ErrAmbiguous, wrote: true},
+		"no fault":    {wrote: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				is.True(errors.Is(err, store.ErrNotFound))
 				return
 			}
-			_, err = s.Watch(t.Context(), key, 0) // ends when it is written
+			_, err = s.Watch(t.Context(), key, 0) // returns when the write takes effect
 			is.NoErr(err)
 		})
 	}
@@ -110,7 +110,7 @@
 	is.Equal(s.Counts()[platform.Put], 10)
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReturnsOnChangeOrEndOfWait(t *testing.T) {
 	is := is.New(t)
 	s, _, c := serve(t)
 	v, err := c.Put(t.Context(), key, []byte("a"), store.IfAbsent())
@@ -125,16 +125,16 @@
 	is.Equal(string(o.Value), "b")
 }
 
-func TestInstances(t *testing.T) {
+func TestInstanceListShowsStateAfterLag(t *testing.T) {
 	is := is.New(t)
-	_, i, c := serve(t)
+	_, list, c := serve(t)
 	l := &instances.Client{Base: c.Base, HTTP: c.HTTP}
-	i.Set(instances.Instance{Name: "entry-1", Zone: "east-a", State: instances.Live})
-	i.SetState("entry-1", instances.Leaving)
+	list.Set(instances.Instance{Name: "entry-1", Zone: "east-a", State: instances.Live})
+	list.SetState("entry-1", instances.Leaving)
 	all, err := l.List(t.Context())
 	is.NoErr(err)
 	is.Equal(all[0].State, instances.Leaving)
-	i.SetLag(time.Hour)
+	list.SetLag(time.Hour)
 	all, err = l.List(t.Context())
 	is.NoErr(err)
 	is.Equal(len(all), 0)
--- a/internal/store/httpstore/doc.go
+++ b/internal/store/httpstore/doc.go
@@ -1,12 +1,12 @@
-// Package httpstore speaks to the platform's object store over HTTP.
+// Package httpstore is the HTTP client of the platform's object store.
 //
-// A [Client] is a store.Store. Its errors are exact about writes: it reports
-// store.ErrUnavailable only when no connection carried the write or the store
-// answered that it refused it (429), and store.ErrAmbiguous for every other
-// end without a final answer: a reset, a timeout, a status of the 500s. It
-// never sends a write twice by itself. net/http is used as it is, because a
-// circuit breaker would refuse calls by chance where the callers of the store
-// already pace theirs.
+// A [Client] implements store.Store. Its errors distinguish writes that did not
+// take effect from those that may have: it returns store.ErrUnavailable only if
+// no connection was available for the write or the store rejected it with
+// status 429, and store.ErrAmbiguous for every other failure without a final
+// answer, such as a reset, a timeout or a 5xx status. It never retries a write.
+// It uses net/http without a circuit breaker, which would reject calls at random
+// although the code that calls the store already limits its rate.
 //
 // # Usage
 //
