--- a/internal/store/observed/store.go
+++ b/internal/store/observed/store.go
@@ -10,30 +10,32 @@
 )
 
 type (
-	// Store passes calls on and counts them; a waiting watch counts as one.
-	// It is safe for concurrent use.
+	// Store forwards calls to another store and counts them; a watch counts as
+	// one call however long it waits. It is safe for concurrent use.
 	Store struct {
-		// Store is the store that is asked.
+		// Store is the wrapped store.
 		Store store.Store
 
 		mu     sync.Mutex
 		report Report
 	}
 
-	// Report says what was seen of the store.
+	// Report holds the call counts and the availability of the store.
 	Report struct {
 		// Calls counts the calls by kind.
 		Calls Calls `json:"calls"`
 		// Conflicts counts writes whose condition did not hold.
 		Conflicts int `json:"conflicts"`
-		// Failures counts calls that the store did not answer.
+		// Failures counts calls that failed otherwise, ambiguous writes
+		// included.
 		Failures int `json:"failures"`
 		// Ambiguous counts writes that may have taken effect.
 		Ambiguous int `json:"ambiguous"`
-		// LastAnswer is when the store last answered; zero if it never did.
+		// LastAnswer is the time of the store's last answer; zero if there was
+		// none.
 		LastAnswer time.Time `json:"lastAnswer"`
-		// FailingSince is when the first of the failures since the last
-		// answer was seen; zero while the store answers.
+		// FailingSince is the time of the first failure since the last answer;
+		// zero while the store answers.
 		FailingSince time.Time `json:"failingSince"`
 	}
 
@@ -54,13 +56,13 @@
 
 var _ store.Store = (*Store)(nil)
 
-// Reads returns the number of calls that count against the reads.
+// Reads returns the number of calls that count towards the store's read limit.
 func (c Calls) Reads() int { return c.Gets + c.Lists + c.Watches }
 
-// Writes returns the number of calls that count against the writes.
+// Writes returns the number of calls that count towards the store's write limit.
 func (c Calls) Writes() int { return c.Puts + c.Deletes }
 
-// Report returns what was seen so far.
+// Report returns the counts and availability so far.
 func (s *Store) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +73,7 @@
 func (s *Store) Get(ctx context.Context, key string) (store.Object, error) {
 	s.count(func(c *Calls) { c.Gets++ })
 	o, err := s.Store.Get(ctx, key)
-	s.note(err)
+	s.record(err)
 	return o, err
 }
 
@@ -79,7 +81,7 @@
 func (s *Store) Put(ctx context.Context, key string, value []byte, cond store.Condition) (store.Version, error) {
 	s.count(func(c *Calls) { c.Puts++ })
 	v, err := s.Store.Put(ctx, key, value, cond)
-	s.note(err)
+	s.record(err)
 	return v, err
 }
 
@@ -87,7 +89,7 @@
 func (s *Store) Delete(ctx context.Context, key string, cond store.Condition) error {
 	s.count(func(c *Calls) { c.Deletes++ })
 	err := s.Store.Delete(ctx, key, cond)
-	s.note(err)
+	s.record(err)
 	return err
 }
 
@@ -95,18 +97,19 @@
 func (s *Store) List(ctx context.Context, prefix string) ([]store.Object, error) {
 	s.count(func(c *Calls) { c.Lists++ })
 	all, err := s.Store.List(ctx, prefix)
-	s.note(err)
+	s.record(err)
 	return all, err
 }
 
-// Watch returns the object as soon as its version is not seen. A watch that
-// ends unchanged is not told from a failing one, so only its success counts as
-// an answer.
+// Watch returns the object under key as soon as its version differs from seen. The
+// error doesn't distinguish a watch that ends without a change from an
+// unavailable store, so store.ErrUnavailable is recorded neither as an answer
+// nor as a failure.
 func (s *Store) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
 	s.count(func(c *Calls) { c.Watches++ })
 	o, err := s.Store.Watch(ctx, key, seen)
 	if !errors.Is(err, store.ErrUnavailable) {
-		s.note(err)
+		s.record(err)
 	}
 	return o, err
 }
@@ -117,7 +120,7 @@
 	f(&s.report.Calls)
 }
 
-func (s *Store) note(err error) {
+func (s *Store) record(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := &s.report
