--- a/internal/store/observed/store.go
+++ b/internal/store/observed/store.go
@@ -26,8 +26,8 @@
 		Calls Calls `json:"calls"`
 		// Conflicts counts writes whose condition did not hold.
 		Conflicts int `json:"conflicts"`
-		// Failures counts calls that failed otherwise, ambiguous writes
-		// included.
+		// Failures counts calls that failed for reasons other than a conflict
+		// or a missing object, ambiguous writes included.
 		Failures int `json:"failures"`
 		// Ambiguous counts writes that may have taken effect.
 		Ambiguous int `json:"ambiguous"`
