--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,12 +10,12 @@
 
 // Bounds of the values in a settings file.
 const (
-	// MaxConnections is the greatest number of callers' connections.
+	// MaxConnections is the upper bound of limits.connections.
 	MaxConnections = 1_000_000
 )
 
-func (s *Settings) checkOwn() *service.FileError {
-	for _, check := range []func() *service.FileError{s.checkHead, s.checkListeners, s.checkOperators, s.checkLimits} {
+func (s *Settings) checkValues() *service.FileError {
+	for _, check := range []func() *service.FileError{s.checkRequired, s.checkListeners, s.checkOperators, s.checkLimits} {
 		if p := check(); p != nil {
 			return p
 		}
@@ -23,7 +23,7 @@
 	return nil
 }
 
-func (s *Settings) checkHead() *service.FileError {
+func (s *Settings) checkRequired() *service.FileError {
 	switch {
 	case s.Instance == "":
 		return missing("instance")
@@ -54,7 +54,7 @@
 		case !l.address.IsValid():
 			return missing(l.key)
 		case l.address.Port() != 0 && seen[l.address]:
-			return impossible(l.key, "another listener has the same address")
+			return impossible(l.key, "%s is already the address of another listener; each listener needs its own", l.address)
 		}
 		seen[l.address] = true
 	}
@@ -68,13 +68,13 @@
 		case o.Name == "":
 			return missing("operators.name").At(i)
 		case seen[o.Name]:
-			return impossible("operators.name", "%q is named twice", o.Name).At(i)
+			return impossible("operators.name", "%q is used twice; operator names must be unique", o.Name).At(i)
 		case o.Role == "":
 			return missing("operators.role").At(i)
 		case o.Hash == Hash{}:
 			return missing("operators.hash").At(i)
 		case o.Hash == HashToken(""):
-			return impossible("operators.hash", "is the hash of an empty token").At(i)
+			return impossible("operators.hash", "the hash of an empty token is not allowed; must be the SHA-256 of the operator's token").At(i)
 		}
 		seen[o.Name] = true
 	}
@@ -83,27 +83,28 @@
 
 func (s *Settings) checkLimits() *service.FileError {
 	if n := s.Limits.Connections; n < 1 || n > MaxConnections {
-		return impossible("limits.connections", "must be 1 to %d", MaxConnections)
+		return impossible("limits.connections", "%d is out of range, must be 1 to %d", n, MaxConnections)
 	}
 	return nil
 }
 
-func (s *Settings) checkWorld() *service.FileError {
+// checkDeployment checks the settings against the deployment file.
+func (s *Settings) checkDeployment() *service.FileError {
 	region, ok := s.World.Region(s.Zone)
 	entry := s.Entry()
 	switch {
 	case !ok:
-		return impossible("zone", "%q is not in %s", s.Zone, s.Deployment)
+		return impossible("zone", "%q is not a zone of the deployment file %s", s.Zone, s.Deployment)
 	case region != s.Region:
-		return impossible("region", "%s has the zone in %q", s.Deployment, region)
+		return impossible("region", "%q must be %q, the region of zone %q in the deployment file %s", s.Region, region, s.Zone, s.Deployment)
 	case entry == nil:
-		return impossible("instance", "%q is not an entry of %s", s.Instance, s.Deployment)
+		return impossible("instance", "%q is not an entry of the deployment file %s", s.Instance, s.Deployment)
 	case entry.Zone != s.Zone:
-		return impossible("zone", "%s has the entry in %q", s.Deployment, entry.Zone)
+		return impossible("zone", "%q must be %q, the zone of entry %q in the deployment file %s", s.Zone, entry.Zone, s.Instance, s.Deployment)
 	case entry.Caller != s.Listeners.Caller:
-		return impossible("listeners.caller", "%s has the entry at %s", s.Deployment, entry.Caller)
+		return impossible("listeners.caller", "%s must be %s, the caller address of entry %q in the deployment file %s", s.Listeners.Caller, entry.Caller, s.Instance, s.Deployment)
 	case entry.Peer != s.Listeners.Peer:
-		return impossible("listeners.peer", "%s has the entry at %s", s.Deployment, entry.Peer)
+		return impossible("listeners.peer", "%s must be %s, the peer address of entry %q in the deployment file %s", s.Listeners.Peer, entry.Peer, s.Instance, s.Deployment)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,46 +13,48 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Values that hold where a settings file says nothing.
+// Defaults of values that are missing from a settings file.
 const (
-	// DefaultConnections is the greatest number of callers' connections.
+	// DefaultConnections is the limit on open connections of callers.
 	DefaultConnections = 10_000
-	// DefaultHeaderTime is how long a caller may take over its header.
+	// DefaultHeaderTime is the time limit for receiving a request's header.
 	DefaultHeaderTime = unit.Duration(10 * time.Second)
-	// DefaultIdleTime is how long an idle connection of a caller is kept.
+	// DefaultIdleTime is the idle timeout of a caller's connection.
 	DefaultIdleTime = unit.Duration(2 * time.Minute)
 )
 
 type (
-	// Settings is one entry's settings file, with the deployment it names.
+	// Settings is the settings file of one entry, with the deployment file
+	// that it names.
 	Settings struct {
 		// Instance is the entry's name in the platform's list.
 		Instance id.Instance `toml:"instance"`
-		// Zone is the availability zone that the entry stands in.
+		// Zone is the entry's availability zone.
 		Zone id.Zone `toml:"zone"`
 		// Region is the region of the zone.
 		Region id.Region `toml:"region"`
 		// Deployment is the path of the deployment file, relative to the
 		// settings file.
 		Deployment string `toml:"deployment"`
-		// Listeners holds the addresses that the entry listens on.
+		// Listeners holds the entry's listen addresses.
 		Listeners Listeners `toml:"listeners"`
 		// Platform holds the addresses of the platform.
 		Platform Platform `toml:"platform"`
-		// Operators lists who may use the operators' listener.
+		// Operators lists the operators that are authorised on the operators'
+		// listener.
 		Operators []Operator `toml:"operators"`
-		// Limits bounds what callers may take up.
+		// Limits bounds the connections of callers.
 		Limits Limits `toml:"limits"`
-		// Log says what is logged and how.
+		// Log configures the log.
 		Log Log `toml:"log"`
 
-		// World is the deployment file's content.
+		// World is the content of the deployment file.
 		World *deployment.Deployment `toml:"-"`
 	}
 
-	// Listeners holds the addresses that an entry listens on.
+	// Listeners holds the listen addresses of an entry.
 	Listeners struct {
-		// Caller is for callers' look-ups and requests.
+		// Caller is for lookups and requests of callers.
 		Caller netip.AddrPort `toml:"caller"`
 		// Peer is for the other entries.
 		Peer netip.AddrPort `toml:"peer"`
@@ -66,37 +68,37 @@
 		Store netip.AddrPort `toml:"store"`
 	}
 
-	// Operator is somebody who may use the operators' listener.
+	// Operator is a person or program that may use the operators' listener.
 	Operator struct {
-		// Name is written to the log with what the operator does.
+		// Name identifies the operator in the log of its commands.
 		Name string `toml:"name"`
-		// Role tells what the operator may do.
+		// Role determines which commands the operator may use.
 		Role Role `toml:"role"`
 		// Hash is the SHA-256 of the operator's bearer token.
 		Hash Hash `toml:"hash"`
 	}
 
-	// Limits bounds what callers may take up.
+	// Limits bounds the connections of callers.
 	Limits struct {
-		// Connections is the greatest number of open connections of callers.
+		// Connections is the limit on open connections of callers.
 		Connections int `toml:"connections"`
-		// HeaderTime is how long a caller may take to send a request's header.
+		// HeaderTime is the time limit for receiving a request's header.
 		HeaderTime unit.Duration `toml:"headerTime"`
-		// IdleTime is how long a connection is kept without a request.
+		// IdleTime is how long a connection without a request is kept open.
 		IdleTime unit.Duration `toml:"idleTime"`
 	}
 
-	// Log says what is logged and how.
+	// Log configures the log.
 	Log struct {
-		// Level is the least level that is logged.
+		// Level is the lowest level that is logged.
 		Level Level `toml:"level"`
-		// Format is the form of a line.
+		// Format is the format of a log line.
 		Format Format `toml:"format"`
 	}
 )
 
-// Load reads and checks a settings file and the deployment file it names. The
-// error is a *service.FileError.
+// Load reads and validates a settings file and the deployment file that it names.
+// The error is a *service.FileError.
 func Load(path string) (*Settings, error) {
 	data, err := read(path)
 	if err != nil {
@@ -107,24 +109,24 @@
 		return nil, err
 	}
 	s.setDefaults()
-	if p := s.checkOwn(); p != nil {
+	if p := s.checkValues(); p != nil {
 		return nil, p.Locate(path, data)
 	}
-	world := filepath.Join(filepath.Dir(path), s.Deployment)
-	content, err := read(world)
+	deploymentPath := filepath.Join(filepath.Dir(path), s.Deployment)
+	content, err := read(deploymentPath)
 	if err != nil {
 		return nil, err
 	}
-	if s.World, err = deployment.Parse(world, content); err != nil {
+	if s.World, err = deployment.Parse(deploymentPath, content); err != nil {
 		return nil, err
 	}
-	if p := s.checkWorld(); p != nil {
+	if p := s.checkDeployment(); p != nil {
 		return nil, p.Locate(path, data)
 	}
 	return s, nil
 }
 
-// Entry returns the deployment's entry that the settings are for.
+// Entry returns the entry of these settings in the deployment file.
 func (s *Settings) Entry() *deployment.Entry {
 	for i := range s.World.Entries {
 		if s.World.Entries[i].Name == s.Instance {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 	emptyHash   = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 )
 
-func TestLoadExamples(t *testing.T) {
+func TestLoadAcceptsExamples(t *testing.T) {
 	for _, deployment := range []string{"beridze", "dansk"} {
 		for i := 1; i <= 7; i++ {
 			path := fmt.Sprintf("../../examples/%s/settings/entry-%d.toml", deployment, i)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestLoadTellsWhatIsWrong(t *testing.T) {
+func TestLoadReportsLineKeyAndCode(t *testing.T) {
 	tests := map[string]struct {
 		old, new string
 		line     int
@@ -56,8 +56,8 @@
 		"entry in other zone": {old: `zone = "east-kakheti-1"`, new: `zone = "east-kakheti-2"`, line: 2, key: "zone", code: result.ImpossibleValue},
 		"wrong region":        {old: `region = "east-kakheti"`, new: `region = "west-imereti"`, line: 3, key: "region", code: result.ImpossibleValue},
 		"unknown instance":    {old: `"entry-1"`, new: `"entry-9"`, line: 1, key: "instance", code: result.ImpossibleValue},
-		"listeners equal":     {old: "127.0.0.1:21041", new: "127.0.0.1:21021", line: 9, key: "listeners.operator", code: result.ImpossibleValue},
-		"other caller":        {old: "127.0.0.1:21001", new: "127.0.0.1:21002", line: 7, key: "listeners.caller", code: result.ImpossibleValue},
+		"same listener twice": {old: "127.0.0.1:21041", new: "127.0.0.1:21021", line: 9, key: "listeners.operator", code: result.ImpossibleValue},
+		"other address":       {old: "127.0.0.1:21001", new: "127.0.0.1:21002", line: 7, key: "listeners.caller", code: result.ImpossibleValue},
 		"no deployment":       {old: "deployment.toml", new: "nowhere.toml", line: 0, key: "", code: result.UnreadableFile},
 		"negative limit":      {old: "[log]", new: "[limits]\nconnections = -1\n[log]", line: 21, key: "limits.connections", code: result.ImpossibleValue},
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	world, err := filepath.Abs("../../examples/beridze/deployment.toml")
+	deploymentPath, err := filepath.Abs("../../examples/beridze/deployment.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 			is := is.New(t)
 			is.True(strings.Contains(string(example), tt.old))
 			dir := t.TempDir()
-			is.NoErr(os.Symlink(world, filepath.Join(dir, "deployment.toml")))
+			is.NoErr(os.Symlink(deploymentPath, filepath.Join(dir, "deployment.toml")))
 			is.NoErr(os.Mkdir(filepath.Join(dir, "settings"), 0o755))
 			path := filepath.Join(dir, "settings", "entry.toml")
 			is.NoErr(os.WriteFile(path, []byte(strings.Replace(string(example), tt.old, tt.new, 1)), 0o600))
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// Reader may see everything and change nothing.
+	// Reader may use all commands that only read.
 	Reader Role = "read"
-	// Writer may drain, undrain and lift quarantines besides.
+	// Writer may also drain, undrain and lift quarantines.
 	Writer Role = "write"
 )
 
 const (
 	// Debug logs everything.
 	Debug Level = "debug"
-	// Info logs events that are part of normal work.
+	// Info logs events of normal operation, warnings and failures.
 	Info Level = "info"
-	// Warn logs what an operator should look at.
+	// Warn logs events that need an operator's attention, and failures.
 	Warn Level = "warn"
 	// Error logs failures only.
 	Error Level = "error"
 )
 
 const (
-	// KeyValue writes one line of key=value pairs for each event.
+	// KeyValue writes each event as a line of key=value pairs.
 	KeyValue Format = "keyValue"
-	// JSON writes one JSON object a line for each event.
+	// JSON writes each event as a line with one JSON object.
 	JSON Format = "json"
 )
 
 type (
-	// Role tells what an operator may do. The zero Role may do nothing.
+	// Role determines which commands an operator may use. The zero Role allows
+	// none.
 	Role string
-	// Level is the least level that is logged.
+	// Level is the lowest level that is logged.
 	Level string
-	// Format is the form of a log line.
+	// Format is the format of a log line.
 	Format string
-	// Hash is the SHA-256 of a bearer token, in hexadecimal as text.
+	// Hash is the SHA-256 of a bearer token; its text form is hexadecimal.
 	Hash [sha256.Size]byte
 )
 
-// HashToken returns the hash of a bearer token.
+// HashToken returns the SHA-256 of a bearer token.
 func HashToken(token string) Hash { return sha256.Sum256([]byte(token)) }
 
 // Equal compares two hashes in constant time.
@@ -54,25 +55,25 @@
 // UnmarshalText decodes 64 hexadecimal digits.
 func (h *Hash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) {
-		return eris.Errorf("hash has %d characters, want %d", len(text), hex.EncodedLen(len(h)))
+		return eris.Errorf("hash has %d characters, must have %d hexadecimal digits", len(text), hex.EncodedLen(len(h)))
 	}
 	if _, err := hex.Decode(h[:], text); err != nil {
-		return eris.New("hash: want hexadecimal digits")
+		return eris.New("hash must consist of hexadecimal digits only")
 	}
 	return nil
 }
 
 // UnmarshalText decodes "read" or "write".
 func (r *Role) UnmarshalText(text []byte) error {
-	return choose(r, "role", text, Reader, Writer)
+	return parseChoice(r, "role", text, Reader, Writer)
 }
 
 // UnmarshalText decodes "debug", "info", "warn" or "error".
 func (l *Level) UnmarshalText(text []byte) error {
-	return choose(l, "level", text, Debug, Info, Warn, Error)
+	return parseChoice(l, "level", text, Debug, Info, Warn, Error)
 }
 
-// Slog returns the level as log/slog has it.
+// Slog returns the level as a slog.Level.
 func (l Level) Slog() slog.Level {
 	switch l {
 	case Debug:
@@ -88,16 +89,16 @@
 
 // UnmarshalText decodes "keyValue" or "json".
 func (f *Format) UnmarshalText(text []byte) error {
-	return choose(f, "format", text, KeyValue, JSON)
+	return parseChoice(f, "format", text, KeyValue, JSON)
 }
 
-// choose sets dst to the text if it is one of the choices.
-func choose[T ~string](dst *T, what string, text []byte, choices ...T) error {
+// parseChoice sets dst to the text if it is one of the choices.
+func parseChoice[T ~string](dst *T, key string, text []byte, choices ...T) error {
 	for _, c := range choices {
 		if string(c) == string(text) {
 			*dst = c
 			return nil
 		}
 	}
-	return eris.Errorf("%s %q: want one of %q", what, text, choices)
+	return eris.Errorf("%s %q is not valid, must be one of %q", key, text, choices)
 }
