--- a/internal/launch/daemon.go
+++ b/internal/launch/daemon.go
@@ -22,15 +22,15 @@
 
 // Daemon is the main function of shallotpierd.
 type Daemon struct {
-	// Run runs the entry until ctx ends, and then drains it; it returns when
-	// no request runs any more.
+	// Run runs the entry until ctx ends and then shuts it down gracefully; it
+	// returns after the last running request has ended.
 	Run func(ctx context.Context, s *settings.Settings, log *slog.Logger) error
-	// Stderr gets the log and what is wrong with the settings.
+	// Stderr receives the log and the errors in flags and settings.
 	Stderr io.Writer
 }
 
-// Main runs the daemon and returns the exit code: 0 after a whole drain, 1 if
-// it failed or was forced, 2 for wrong flags or settings.
+// Main runs the daemon and returns the exit code: 0 after a complete graceful
+// shutdown, 1 after a failure or a second signal, 2 for invalid flags or settings.
 func (d *Daemon) Main(args []string) int {
 	path, check, err := d.flags(args)
 	if errors.Is(err, flag.ErrHelp) {
--- a/internal/launch/doc.go
+++ b/internal/launch/doc.go
@@ -1,6 +1,6 @@
-// Package launch holds what the main functions of the daemon and of the
-// stand-ins do: reading flags and files, setting up the log, and turning
-// signals into an orderly stop.
+// Package launch implements the main functions of shallotpierd and
+// shallotpier-standin. It parses flags, reads files, sets up the log, and begins
+// graceful shutdown on a signal.
 //
 // # Usage
 //
--- a/internal/launch/launch_test.go
+++ b/internal/launch/launch_test.go
@@ -24,15 +24,15 @@
 		code   int
 		stderr string
 	}{
-		"whole run":       {args: []string{"-settings", entry}, code: 0, stderr: "entry stopped"},
+		"complete run":    {args: []string{"-settings", entry}, code: 0, stderr: "entry stopped"},
 		"failed run":      {args: []string{"-settings", entry}, run: errors.New("address taken"), code: 1, stderr: "address taken"},
-		"check":           {args: []string{"-check", "-settings", entry}, run: errors.New("was run"), code: 0},
+		"check":           {args: []string{"-check", "-settings", entry}, run: errors.New("must not run"), code: 0},
 		"help":            {args: []string{"-help"}, code: 0, stderr: "settings"},
 		"no settings":     {code: 2, stderr: "settings"},
 		"unknown flag":    {args: []string{"-loud"}, code: 2, stderr: "loud"},
 		"no such file":    {args: []string{"-settings", "nowhere.toml"}, code: 2, stderr: "(code 4004)"},
-		"wrong file":      {args: []string{"-settings", "../../examples/beridze/deployment.toml"}, code: 2, stderr: "deployment.toml:1: name: the key is not known (code 4000)"},
-		"further operand": {args: []string{"-settings", entry, "x"}, code: 2, stderr: "settings"},
+		"deployment file": {args: []string{"-settings", "../../examples/beridze/deployment.toml"}, code: 2, stderr: "deployment.toml:1: name: the key is not known (code 4000)"},
+		"extra operand":   {args: []string{"-settings", entry, "x"}, code: 2, stderr: "settings"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFirstSignalDrainsSecondForces(t *testing.T) {
+func TestFirstSignalDrainsSecondForcesExit(t *testing.T) {
 	tests := map[string]struct {
 		drains bool
 		code   int
@@ -64,7 +64,7 @@
 					return nil
 				}
 				is.NoErr(syscall.Kill(syscall.Getpid(), syscall.SIGTERM))
-				select {} // a request that doesn't end
+				select {} // a request that does not end
 			}}
 			is.Equal(d.Main([]string{"shallotpierd", "-settings", entry}), tt.code)
 			is.True(strings.Contains(stderr.String(), "signal received"))
--- a/internal/launch/signals.go
+++ b/internal/launch/signals.go
@@ -13,30 +13,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// errForced means that a second signal ended the program.
-var errForced = eris.New("stopped by a second signal, running requests were cut")
+// errForced means that a second signal interrupted graceful shutdown.
+var errForced = eris.New("stopped by a second signal, running requests were aborted")
 
-// handlerFrame is the goroutine in which go-zero installs its signal handlers
+// handlerFrame is the function whose goroutine installs go-zero's signal handlers
 // and waits for signals.
 const handlerFrame = "core/proc.init"
 
-// handlerLimit bounds the wait for that goroutine.
-const handlerLimit = 5 * time.Second
+// handlerTimeout bounds the wait for that goroutine.
+const handlerTimeout = 5 * time.Second
 
-// awaitHandlers returns when go-zero's signal handlers, which end the process
-// while requests run, are installed, so that a reset takes them out. go-zero
-// installs them in a goroutine that its import starts, at any later time; they
-// are in place when the goroutine waits on its channel.
+// awaitHandlers waits until go-zero has installed its signal handlers, so that
+// signal.Reset removes them: they would end the process while requests run.
+// Importing go-zero starts a goroutine that installs them at an unspecified time;
+// they are installed once that goroutine waits on its channel.
 func awaitHandlers() {
-	for end := time.Now().Add(handlerLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(handlerTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if waits, found := goroutineWaits(handlerFrame); waits || !found {
 			return
 		}
 	}
 }
 
-// goroutineWaits tells whether there is a goroutine with the frame, and
-// whether it waits on a channel.
+// goroutineWaits reports whether there is a goroutine with the frame in its stack,
+// and whether it waits on a channel.
 func goroutineWaits(frame string) (waits, found bool) {
 	buf := make([]byte, 1<<20)
 	buf = buf[:runtime.Stack(buf, true)]
@@ -49,8 +49,9 @@
 	return false, false
 }
 
-// untilStopped runs work. The first signal ends its context, and the second
-// makes untilStopped return without waiting for work.
+// untilStopped runs work and returns its error. SIGTERM or SIGINT cancels work's
+// context; a second signal makes untilStopped return errForced without waiting
+// for work.
 func untilStopped(log *slog.Logger, work func(ctx context.Context) error) error {
 	awaitHandlers()
 	signal.Reset(syscall.SIGTERM, syscall.SIGINT)
@@ -70,7 +71,7 @@
 			if ctx.Err() != nil {
 				return errForced
 			}
-			log.Info("signal received, draining; a second one forces the end", "signal", s.String())
+			log.Info("signal received, draining; a second signal ends the process at once", "signal", s.String())
 			cancel()
 		}
 	}
--- a/internal/launch/signals_internal_test.go
+++ b/internal/launch/signals_internal_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// The wait for go-zero's handlers rests on the name of a goroutine of its; a
-// new version of it may need another one.
+// awaitHandlers relies on the name of a function in go-zero, which may change with
+// a new version of go-zero.
 func TestAwaitHandlersFindsTheGoroutine(t *testing.T) {
 	is := is.New(t)
 	awaitHandlers()
--- a/internal/launch/standin.go
+++ b/internal/launch/standin.go
@@ -15,13 +15,13 @@
 
 // StandIn is the main function of shallotpier-standin.
 type StandIn struct {
-	// Stderr gets the log.
+	// Stderr receives the log and the errors in flags and files.
 	Stderr io.Writer
 }
 
-// Main runs the stand-ins of a deployment until a signal comes, and returns
-// the exit code: 0 after that, 1 if something can't be started, 2 for wrong
-// flags or files.
+// Main runs the simulated platform and backend servers of a deployment until the
+// process receives a signal. It returns the exit code: 0 after a signal, 1 if
+// starting or stopping failed, 2 for invalid flags or files.
 func (s *StandIn) Main(args []string) int {
 	flags := flag.NewFlagSet("shallotpier-standin", flag.ContinueOnError)
 	flags.SetOutput(s.Stderr)
