--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,11 +1,11 @@
-// Package httpserver serves HTTP through go-zero's rest, with what a process
-// of several listeners needs besides: port 0, an error instead of a panic when
-// the address can't be had, header and idle times, a limit on connections, and
-// a shutdown of one server that leaves the others alone.
+// Package httpserver serves HTTP through go-zero's rest package. For processes with
+// several listeners, it adds support for port 0, an error instead of a panic if
+// the address is not available, header and idle timeouts, a connection limit, and
+// a shutdown that does not affect other servers.
 //
-// None of rest's middlewares is on: load shedding, breaking and timeouts are
-// decided by this project's own policies, and a second decision maker beside
-// them would make their results unpredictable.
+// All of rest's middlewares are disabled: the entry has its own policies for load
+// shedding, circuit breaking and timeouts, and a second set of policies would
+// make results unpredictable.
 //
 // # Usage
 //
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -24,41 +24,42 @@
 type (
 	// Server is one HTTP listener. Its fields must not be changed after Start.
 	Server struct {
-		// Address is where to listen; Start sets the port if it is 0.
+		// Address is the listen address; Start sets the port if it is 0.
 		Address netip.AddrPort
 		// Handler answers the requests.
 		Handler http.Handler
-		// HeaderTime is how long a client may take over a request's header;
-		// 0 means 10 s.
+		// HeaderTime is the time limit for receiving a request's header; 0
+		// means 10 s.
 		HeaderTime time.Duration
-		// IdleTime is how long a connection is kept without a request; 0 means
-		// 2 minutes.
+		// IdleTime is how long a connection without a request is kept open; 0
+		// means 2 minutes.
 		IdleTime time.Duration
-		// Connections is the greatest number of open connections; further ones
-		// are closed at once. 0 means no limit.
+		// Connections is the limit on open connections; further ones are
+		// closed at once. 0 means no limit.
 		Connections int
-		// ConnContext may change the context of a connection's requests.
+		// ConnContext, if not nil, returns the context from which the contexts
+		// of a connection's requests are derived.
 		ConnContext func(ctx context.Context, c net.Conn) context.Context
 
 		server *http.Server
 		open   atomic.Int64
 		mu     sync.Mutex
-		over   map[net.Conn]bool
+		excess map[net.Conn]bool // connections closed because of the limit
 	}
 
-	// router hands every request to one handler. rest's own router would
-	// change the path.
+	// router forwards every request to one handler. rest's own router would
+	// clean the path.
 	router struct{ http.Handler }
 )
 
-// Start listens and serves in the background. It returns when connections are
-// accepted, or the error that prevents it.
+// Start listens and serves in the background. It returns once the server listens,
+// or an error if it can't.
 func (s *Server) Start() error {
 	conf := rest.RestConf{Host: s.Address.Addr().String(), Port: int(s.Address.Port())}
-	conf.Mode = service.PreMode // no process-wide load shedding and reports
+	conf.Mode = service.PreMode // disables process-wide load shedding and statistics
 	engine, err := rest.NewServer(conf, rest.WithRouter(router{s.Handler}))
 	if err != nil {
-		return eris.Wrap(err, "set up rest")
+		return eris.Wrap(err, "create rest server")
 	}
 	listening := make(chan net.Addr, 1)
 	failed := make(chan error, 1)
@@ -72,18 +73,19 @@
 	}
 }
 
-// Shutdown closes the listener and waits until the running requests have
-// ended, or until ctx ends.
+// Shutdown closes the listener and waits until all running requests have ended or
+// ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return eris.Wrap(s.server.Shutdown(ctx), "shut down")
 }
 
-// Close closes the listener and all connections, running requests included.
+// Close closes the listener and all connections, including those with running
+// requests.
 func (s *Server) Close() error { return eris.Wrap(s.server.Close(), "close") }
 
 func (s *Server) serve(engine *rest.Server, listening chan<- net.Addr, failed chan<- error) {
 	defer func() {
-		// rest panics when it can't listen.
+		// rest panics if it can't listen.
 		if p := recover(); p != nil {
 			err, ok := p.(error)
 			if !ok {
@@ -113,30 +115,30 @@
 	}
 	server.ConnContext = s.ConnContext
 	if s.Connections > 0 {
-		s.over = map[net.Conn]bool{}
-		server.ConnState = s.count
+		s.excess = map[net.Conn]bool{}
+		server.ConnState = s.trackConn
 	}
 	s.server = server
 }
 
-// count closes connections over the limit. One that was closed for that is
-// not counted when it ends.
-func (s *Server) count(c net.Conn, state http.ConnState) {
+// trackConn counts open connections and closes those over the limit, which are not
+// counted.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		if s.open.Add(1) > int64(s.Connections) {
 			s.open.Add(-1)
 			s.mu.Lock()
-			s.over[c] = true
+			s.excess[c] = true
 			s.mu.Unlock()
 			c.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
-		over := s.over[c]
-		delete(s.over, c)
+		excess := s.excess[c]
+		delete(s.excess, c)
 		s.mu.Unlock()
-		if !over {
+		if !excess {
 			s.open.Add(-1)
 		}
 	}
@@ -144,11 +146,11 @@
 
 var _ httpx.Router = router{}
 
-// Handle does nothing: the handler does its own routing.
+// Handle does nothing: the handler routes requests itself.
 func (router) Handle(string, string, http.Handler) error { return nil }
 
-// SetNotFoundHandler does nothing: the handler answers every path.
+// SetNotFoundHandler does nothing: the handler serves every path.
 func (router) SetNotFoundHandler(http.Handler) {}
 
-// SetNotAllowedHandler does nothing: the handler answers every method.
+// SetNotAllowedHandler does nothing: the handler serves every method.
 func (router) SetNotAllowedHandler(http.Handler) {}
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -17,11 +17,11 @@
 
 func loopback() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:0") }
 
-func TestShutdownLetsRequestsEnd(t *testing.T) {
+func TestShutdownWaitsForRunningRequestsOfOneServer(t *testing.T) {
 	is := is.New(t)
-	begun, finish := make(chan bool), make(chan bool)
+	started, finish := make(chan bool), make(chan bool)
 	s := httpserver.Server{Address: loopback(), Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(started)
 		<-finish
 		io.WriteString(w, r.URL.EscapedPath())
 	})}
@@ -39,7 +39,7 @@
 		body, _ := io.ReadAll(resp.Body)
 		answer <- string(body)
 	}()
-	<-begun
+	<-started
 	stopped := make(chan error)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
 	select {
@@ -48,18 +48,18 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(finish)
-	is.Equal(<-answer, "/a%2Fb//c") // the path arrives as sent
+	is.Equal(<-answer, "/a%2Fb//c") // the path is not cleaned
 	is.NoErr(<-stopped)
 
 	resp, err := http.Get("http://" + other.Address.String())
-	is.NoErr(err) // the other server goes on
+	is.NoErr(err) // the other server still serves
 	is.Equal(resp.StatusCode, http.StatusNotFound)
 	is.NoErr(other.Close())
 }
 
-func TestLargeHeaderIsRefused(t *testing.T) {
+func TestLargeHeaderIsRejected(t *testing.T) {
 	tests := map[string]struct{ size, status int }{
-		"usual":     {size: 8 << 10, status: http.StatusNotFound},
+		"normal":    {size: 8 << 10, status: http.StatusNotFound},
 		"too large": {size: 128 << 10, status: http.StatusRequestHeaderFieldsTooLarge},
 	}
 	for name, tt := range tests {
@@ -88,21 +88,21 @@
 	is.True(second.Start() != nil)
 }
 
-func TestConnectionsAreLimited(t *testing.T) {
+func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
 	is := is.New(t)
 	s := httpserver.Server{Address: loopback(), Connections: 1, Handler: http.NotFoundHandler()}
 	is.NoErr(s.Start())
 	defer s.Close()
 	first := dial(is, s.Address)
-	is.NoErr(ask(first))
+	is.NoErr(request(first))
 	second := dial(is, s.Address)
-	is.True(ask(second) != nil) // over the limit
-	is.NoErr(ask(first))
+	is.True(request(second) != nil) // over the limit
+	is.NoErr(request(first))
 	first.Close()
 	for {
 		third := dial(is, s.Address)
-		if ask(third) == nil {
-			break // the first one's place is free again
+		if request(third) == nil {
+			break // closing the first connection has made room
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	return c
 }
 
-func ask(c net.Conn) error {
+func request(c net.Conn) error {
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		return err
 	}
