--- a/internal/standin/backend/answer.go
+++ b/internal/standin/backend/answer.go
@@ -10,29 +10,29 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-const maxSize = 1 << 30
+const maxAddedBytes = 1 << 30
 
-// answer answers a request that ran. The query parameter "size" adds that
-// many bytes to the body, and "status" sets the status. A trailer of the
-// request is sent back.
+// answer answers a request that ran. The query parameter "size" adds that many
+// bytes to the body, and "status" sets the status. Trailers of the request are
+// echoed.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, body int64, how Answer) {
 	text := s.text(r, body)
 	if how != Whole {
-		s.spoil(w, r, text, how)
+		s.sendMalformed(w, r, text, how)
 		return
 	}
 	for k := range r.Trailer {
 		w.Header().Add("Trailer", k)
 	}
 	size, _ := strconv.ParseInt(r.URL.Query().Get("size"), 10, 64)
-	if size > 0 && size <= maxSize {
+	if size > 0 && size <= maxAddedBytes {
 		w.Header().Set("Content-Length", strconv.FormatInt(int64(len(text))+size, 10))
 	}
 	if status, err := strconv.Atoi(r.URL.Query().Get("status")); err == nil && status >= 200 && status <= 599 {
 		w.WriteHeader(status)
 	}
 	_, _ = io.WriteString(w, text)
-	if size > 0 && size <= maxSize {
+	if size > 0 && size <= maxAddedBytes {
 		_, _ = io.CopyN(w, zeros{}, size)
 	}
 	for k := range r.Trailer {
@@ -40,7 +40,8 @@
 	}
 }
 
-func (s *Server) spoil(w http.ResponseWriter, r *http.Request, text string, how Answer) {
+// sendMalformed takes over the connection and answers with a fault.
+func (s *Server) sendMalformed(w http.ResponseWriter, r *http.Request, text string, how Answer) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -64,7 +65,7 @@
 		_ = c.Close()
 		return
 	}
-	// The connection stays open for the other side to misuse.
+	// The connection stays open, so that the client may wrongly reuse it.
 	_, _ = io.Copy(io.Discard, buf)
 	_ = c.Close()
 }
--- a/internal/standin/backend/conn.go
+++ b/internal/standin/backend/conn.go
@@ -7,34 +7,34 @@
 )
 
 type (
-	// countingListener keeps the connection limit of a server.
-	countingListener struct {
+	// limitedListener enforces the connection limit of a server.
+	limitedListener struct {
 		net.Listener
-		server *Server
-		opened int
+		server   *Server
+		accepted int
 	}
 
-	// conn is a connection that can go silent: nothing arrives on it any
-	// more, not even its end, and nothing that is written leaves.
+	// conn is a connection that can be stalled: reads return nothing, not even
+	// the end of the connection, and writes are dropped.
 	conn struct {
 		net.Conn
-		server *Server
-		number int
-		silent atomic.Bool
-		once   sync.Once
-		closed chan struct{}
+		server  *Server
+		number  int // index of the connection in order of acceptance
+		stalled atomic.Bool
+		once    sync.Once
+		closed  chan struct{}
 	}
 )
 
 // Accept returns the next connection within the limit.
-func (l *countingListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: raw, server: l.server, number: l.opened, closed: make(chan struct{})}
-		l.opened++
+		c := &conn{Conn: raw, server: l.server, number: l.accepted, closed: make(chan struct{})}
+		l.accepted++
 		if l.server.admitConn(c) {
 			return c, nil
 		}
@@ -42,19 +42,19 @@
 	}
 }
 
-// Read reads; on a silent connection it waits for Close.
+// Read reads from the connection; if it is stalled, Read blocks until Close.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.silent.Load() {
+	if c.stalled.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write writes, and drops p while the connection is silent.
+// Write writes to the connection; if it is stalled, Write drops p.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+	if c.stalled.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -71,6 +71,7 @@
 	return c.Conn.Close()
 }
 
+// admitConn records the connection unless the server's limit is reached.
 func (s *Server) admitConn(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/backend/doc.go
+++ b/internal/standin/backend/doc.go
@@ -1,16 +1,15 @@
-// Package backend is a stand-in for a backend server, for tests and for the
-// trial.
+// Package backend simulates a backend server for tests and for the trial.
 //
-// A [Server] runs requests for a time that its settings give by path, counts
-// them against its slots, and keeps a [Record] of every request that reached
-// it, so that a test can compare what callers were told with what ran. It
-// misbehaves as its [Faults] say: it sheds, crashes on a chosen request, lets
-// open connections go silent, lies about its health and load, or spoils its
-// answers.
+// A [Server] runs each request for a configured time by path, counts running
+// requests against its slots, and keeps a [Record] of all requests that reached
+// it, so that a test can compare the results that callers received with the
+// requests that ran. Its [Faults] inject failures: it can shed requests, crash on
+// a chosen request, stall open connections, report false health and load, or send
+// malformed responses.
 //
-// It keeps the contract of real backend servers: it answers a shed request
-// with status 503 and the header result.HeaderShed, echoes
-// result.HeaderSend, and stops running a request whose connection ends.
+// It implements the contract of real backend servers: it answers a shed request
+// with status 503 and the header result.HeaderShed, echoes result.HeaderSend, and
+// stops running a request whose connection ends.
 //
 // # Usage
 //
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -16,24 +16,26 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// Ways to spoil an answer.
+// Ways to answer a request; all but Whole are malformed or missing answers.
 const (
-	// Whole answers as announced. It is the zero Answer.
+	// Whole sends a correct answer. It is the zero Answer.
 	Whole Answer = iota
-	// Cut ends the connection in the middle of the announced body.
+	// Cut closes the connection before the end of the body that
+	// Content-Length announces.
 	Cut
-	// Long sends more than was announced.
+	// Long sends a longer body than Content-Length announces.
 	Long
-	// Duplicate sends the whole answer twice.
+	// Duplicate sends the complete answer twice.
 	Duplicate
-	// Unframed announces no length and ends the connection in the middle.
+	// Unframed sends no Content-Length and closes the connection after the
+	// body.
 	Unframed
-	// Foreign answers with the id of another send.
+	// Foreign sends an answer with the id of another send.
 	Foreign
-	// Stuck stops in the middle of the announced body and keeps the
-	// connection open.
+	// Stuck stops before the end of the body that Content-Length announces and
+	// keeps the connection open.
 	Stuck
-	// Nothing ends the connection without an answer.
+	// Nothing closes the connection without an answer.
 	Nothing
 )
 
@@ -41,70 +43,75 @@
 	// Answer is a way to answer a request that ran.
 	Answer uint8
 
-	// Load is what the load endpoint tells.
+	// Load is the answer of the load endpoint.
 	Load struct {
 		// Running is the number of requests that are running.
 		Running int `json:"running"`
-		// Slots is how many the server can run at the same time.
+		// Slots is the server's concurrency limit.
 		Slots int `json:"slots"`
-		// Draining tells whether the server is about to stop.
+		// Draining reports whether the server is in graceful shutdown.
 		Draining bool `json:"draining"`
 	}
 
-	// Faults are the ways in which a server misbehaves.
+	// Faults are the faults to inject into a server.
 	Faults struct {
-		// Shed refuses every request before running it.
+		// Shed sheds every request without running it.
 		Shed bool
-		// Crash chooses requests that end the whole server.
+		// Crash selects requests that crash the server.
 		Crash func(*http.Request) bool
-		// Spoil chooses how a request is answered.
+		// Spoil selects how a request is answered; nil means Whole.
 		Spoil func(*http.Request) Answer
-		// Health is the status that the health endpoint claims; 0 is the truth.
+		// Health overrides the status of the health endpoint; 0 means the real
+		// status.
 		Health int
-		// Load is what the load endpoint claims; nil is the truth.
+		// Load overrides the answer of the load endpoint; nil means the real
+		// load.
 		Load *Load
-		// Slower is added to the time that each request runs.
+		// Slower is added to the running time of each request.
 		Slower time.Duration
 	}
 
-	// Record is what a server saw.
+	// Record counts what happened at a server.
 	Record struct {
-		// Begun counts the requests whose header arrived, by request id.
+		// Begun counts the requests whose header was received, by request id.
 		Begun map[string]int
-		// Ran counts the requests that ran, by request id. A request runs once
-		// its whole body has arrived.
+		// Ran counts the requests that ran, by request id. A request counts as
+		// run once its complete body has been received.
 		Ran map[string]int
-		// Shed counts the requests that were refused unrun.
+		// Shed counts the requests that were shed.
 		Shed int
-		// MaxRunning is the greatest number of requests that ran together.
+		// MaxRunning is the largest number of requests that ran concurrently.
 		MaxRunning int
-		// Overloads counts the requests that were run above the slots.
+		// Overloads counts the requests that ran although all slots were in
+		// use.
 		Overloads int
-		// MaxConnections is the greatest number of open connections.
+		// MaxConnections is the largest number of open connections.
 		MaxConnections int
-		// Refused counts the connections over the limit, closed at once.
+		// Refused counts the connections that were closed because of the limit.
 		Refused int
 		// Crashes counts the crashes.
 		Crashes int
 	}
 
-	// Server is a stand-in backend server. Its fields must not change once it
-	// serves. It is safe for concurrent use.
+	// Server is a simulated backend server. Its fields must not be changed after
+	// Listen or Serve. It is safe for concurrent use.
 	Server struct {
-		// Name is its name in its answers.
+		// Name identifies the server in its answers.
 		Name id.Server
-		// Slots is how many requests it may run together; 0 is no limit.
+		// Slots is the concurrency limit; 0 means no limit.
 		Slots int
-		// Connections is how many open connections it takes; 0 is no limit.
+		// Connections is the limit on open connections; 0 means no limit.
 		Connections int
-		// Service is how long a request runs, by the longest prefix of its path.
+		// Service maps path prefixes to the running time of requests; the
+		// longest prefix applies.
 		Service map[string]time.Duration
-		// Cold is how long after its start requests run ColdFactor times as
-		// long.
+		// Cold is the time after the start during which the server is cold:
+		// running times are multiplied by ColdFactor.
 		Cold time.Duration
-		// ColdFactor multiplies the time of a request on a cold server.
+		// ColdFactor is the factor of running times on a cold server; 0 means
+		// no effect.
 		ColdFactor float64
-		// ShedAboveSlots refuses requests above the slots, unrun.
+		// ShedAboveSlots sheds requests while all slots are in use.
 		ShedAboveSlots bool
 
 		mu       sync.Mutex
@@ -119,8 +126,8 @@
 	}
 )
 
-// Listen serves on a TCP address such as "127.0.0.1:0" and returns the
-// address in use.
+// Listen serves on a TCP address such as "127.0.0.1:0" and returns the address
+// with the actual port.
 func (s *Server) Listen(addr string) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -130,7 +137,7 @@
 	return netip.ParseAddrPort(l.Addr().String())
 }
 
-// Serve serves on the listener in a goroutine of its own, until Close.
+// Serve serves on the listener in a new goroutine until Close.
 func (s *Server) Serve(l net.Listener) {
 	srv := &http.Server{Handler: s}
 	s.mu.Lock()
@@ -138,11 +145,11 @@
 	s.conns = map[*conn]struct{}{}
 	s.listener, s.http = l, srv
 	s.mu.Unlock()
-	go func() { _ = srv.Serve(&countingListener{Listener: l, server: s}) }()
+	go func() { _ = srv.Serve(&limitedListener{Listener: l, server: s}) }()
 }
 
-// Close stops the server as a crash does: the listener and every connection
-// are closed at once.
+// Close stops the server as a crash would: it closes the listener and all
+// connections at once.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	srv := s.http
@@ -153,8 +160,8 @@
 	return srv.Close()
 }
 
-// Drain begins a planned stop: running requests go on, and the load endpoint
-// says so.
+// Drain begins graceful shutdown: requests still run, the load endpoint reports
+// draining and the health endpoint returns 503.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,19 +175,19 @@
 	s.faults = f
 }
 
-// Silence lets open connections go silent for good, every nth of them in the
-// order of their opening; 1 is all of them. Connections opened later work.
+// Silence permanently stalls every nth of the open connections, in the order in
+// which they were accepted; 1 stalls all of them. Later connections work.
 func (s *Server) Silence(nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if c.number%nth == 0 {
-			c.silent.Store(true)
+			c.stalled.Store(true)
 		}
 	}
 }
 
-// Record returns a copy of what the server saw so far.
+// Record returns a copy of the counts so far.
 func (s *Server) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,14 +202,14 @@
 	return rec
 }
 
-// Load returns the true load.
+// Load returns the real load.
 func (s *Server) Load() Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Load{Running: s.running, Slots: s.Slots, Draining: s.draining}
 }
 
-// ServeHTTP answers the health and load endpoints and runs everything else.
+// ServeHTTP serves the health and load endpoints and runs all other requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/health":
@@ -256,7 +263,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	s.ran(r)
+	s.recordRun(r)
 	if !sleep(r.Context(), s.serviceTime(r.URL.Path)+faults.Slower) {
 		panic(http.ErrAbortHandler)
 	}
@@ -293,7 +300,7 @@
 	s.running--
 }
 
-func (s *Server) ran(r *http.Request) {
+func (s *Server) recordRun(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.record.Ran[r.Header.Get(result.HeaderRequestID)]++
@@ -321,7 +328,7 @@
 	return d
 }
 
-// sleep waits for d and tells whether ctx lasted as long.
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -336,8 +343,8 @@
 	}
 }
 
-// text is the body of an answer: the request's id, the server's name and the
-// size of the request's body, in one line.
+// text returns the body of an answer, one line with the request's id, the server's
+// name and the size of the request's body.
 func (s *Server) text(r *http.Request, body int64) string {
 	return r.Header.Get(result.HeaderRequestID) + " " + string(s.Name) + " " + strconv.FormatInt(body, 10) + "\n"
 }
