--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -16,39 +16,42 @@
 )
 
 type (
-	// Faults are what a stand-in backend server is told over HTTP.
+	// Faults are the faults of a simulated backend server, set over HTTP.
 	Faults struct {
-		// Shed refuses every request before running it.
+		// Shed sheds every request without running it.
 		Shed bool `json:"shed"`
-		// CrashPath ends the server when a request for a path with this prefix
-		// comes; empty for none.
+		// CrashPath is a path prefix; a request for such a path crashes the
+		// server. Empty means none.
 		CrashPath string `json:"crashPath"`
-		// Health is the status that the health endpoint claims; 0 is the truth.
+		// Health overrides the status of the health endpoint; 0 means the real
+		// status.
 		Health int `json:"health"`
-		// Slower is added to the time that each request runs.
+		// Slower is added to the running time of each request.
 		Slower unit.Duration `json:"slower"`
 	}
 
-	// Seen is what a stand-in backend server saw, told over HTTP.
-	Seen struct {
+	// Counts holds the counts of a simulated backend server, read over HTTP.
+	Counts struct {
 		// Running is the number of requests that are running.
 		Running int `json:"running"`
-		// Ran counts the requests that were run.
+		// Ran counts the requests that ran.
 		Ran int `json:"ran"`
-		// Twice counts the request ids that were run more than once.
+		// Twice counts the request ids that ran more than once.
 		Twice int `json:"twice"`
-		// Overloads counts the requests that were run above the slots.
+		// Overloads counts the requests that ran although all slots were in
+		// use.
 		Overloads int `json:"overloads"`
-		// Shed counts the requests that were refused unrun.
+		// Shed counts the requests that were shed.
 		Shed int `json:"shed"`
 		// Crashes counts the crashes.
 		Crashes int `json:"crashes"`
 	}
 )
 
-// control answers GET /servers/{service}/{server} with what the server saw, of
-// the request ids that start with the parameter prefix, and takes PUT with faults there, with an empty body at .../silence to let
-// its open connections go silent, and at .../stop to end it.
+// control serves /servers/{service}/{server}. GET returns the server's counts; Ran and
+// Twice include only request ids that start with the parameter prefix. PUT sets
+// the faults. PUT with an empty body to .../silence stalls the open connections,
+// and to .../stop stops the server.
 func (f *Fleet) control(w http.ResponseWriter, r *http.Request) {
 	parts := strings.Split(strings.TrimPrefix(r.URL.Path, controlPath), "/")
 	if len(parts) < 2 {
@@ -62,7 +65,7 @@
 	}
 	switch r.Method + " " + strings.Join(parts[2:], "/") {
 	case "GET ":
-		writeSeen(w, s, r.URL.Query().Get("prefix"))
+		writeCounts(w, s, r.URL.Query().Get("prefix"))
 	case "PUT ":
 		setFaults(w, r, s)
 	case "PUT silence":
@@ -79,22 +82,22 @@
 	}
 }
 
-// writeSeen tells what the server saw, with the runs of the request ids that
+// writeCounts writes the server's counts; Ran and Twice include only request ids that
 // start with prefix.
-func writeSeen(w http.ResponseWriter, s *backend.Server, prefix string) {
+func writeCounts(w http.ResponseWriter, s *backend.Server, prefix string) {
 	record := s.Record()
-	seen := Seen{Running: s.Load().Running, Overloads: record.Overloads, Shed: record.Shed, Crashes: record.Crashes}
+	counts := Counts{Running: s.Load().Running, Overloads: record.Overloads, Shed: record.Shed, Crashes: record.Crashes}
 	for id, count := range record.Ran {
 		if !strings.HasPrefix(id, prefix) {
 			continue
 		}
-		seen.Ran += count
+		counts.Ran += count
 		if count > 1 {
-			seen.Twice++
+			counts.Twice++
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(seen) // the client may be gone
+	_ = json.NewEncoder(w).Encode(counts) // the client may have disconnected
 }
 
 func setFaults(w http.ResponseWriter, r *http.Request, s *backend.Server) {
--- a/internal/standin/fleet/doc.go
+++ b/internal/standin/fleet/doc.go
@@ -1,10 +1,11 @@
-// Package fleet starts the stand-ins of a whole deployment on loopback: the
-// platform with its store and instance list, and every backend server that the
-// service files name.
+// Package fleet simulates the environment of a whole deployment on loopback: the
+// platform with its store and instance list, and every backend server in the
+// service files.
 //
-// Beside the platform's own paths, its address takes /servers/{service}/{server}:
-// GET tells what that backend server saw, PUT sets its faults, and PUT on
-// /silence and /stop below it silences its open connections and ends it.
+// In addition to the platform's paths, the platform's address serves
+// /servers/{service}/{server}: GET returns the counts of that backend server, PUT
+// sets its faults, PUT on /silence below it stalls its open connections, and PUT
+// on /stop below it stops the server.
 //
 // # Usage
 //
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -21,7 +21,7 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Times that the stand-in backend servers run requests.
+// Running times of requests on the simulated backend servers.
 const (
 	readTime   = 5 * time.Millisecond
 	writeTime  = 20 * time.Millisecond
@@ -29,18 +29,19 @@
 )
 
 type (
-	// Fleet is the stand-ins of one deployment. Its exported fields must not
-	// be changed between Start and Close.
+	// Fleet is the simulated environment of one deployment. Its exported fields
+	// must not be changed between Start and Close.
 	Fleet struct {
 		// World is the deployment.
 		World *deployment.Deployment
 		// Files holds the service files. With Ephemeral, Start sets their
 		// backend servers' addresses.
 		Files []*service.File
-		// Platform is where the platform listens; Start sets the port if it is
-		// 0.
+		// Platform is the platform's listen address; Start sets the port if it
+		// is 0.
 		Platform netip.AddrPort
-		// Ephemeral lets every backend server choose a free port.
+		// Ephemeral makes every backend server listen on a free port instead of
+		// its configured one.
 		Ephemeral bool
 
 		// Store is the platform's store.
@@ -58,31 +59,31 @@
 	}
 )
 
-// Load reads deployment.toml and the service files below services in the
-// folder. A wrong file gives a *service.FileError.
+// Load reads deployment.toml and the service files below services in the folder.
+// The error for an unreadable or invalid file is a *service.FileError.
 func Load(folder string) (*Fleet, error) {
 	path := filepath.Join(folder, "deployment.toml")
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, unreadable(path, err)
 	}
-	world, err := deployment.Parse(path, data)
+	spec, err := deployment.Parse(path, data)
 	if err != nil {
 		return nil, err
 	}
-	found, err := collect.Files(filepath.Join(folder, "services"))
+	files, err := collect.Files(filepath.Join(folder, "services"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{World: world}
-	for _, each := range found {
+	f := &Fleet{World: spec}
+	for _, each := range files {
 		f.Files = append(f.Files, each.File)
 	}
 	return f, nil
 }
 
 // Start starts the platform and the backend servers, and lists the entries as
-// live. What was started is ended if something can't be.
+// live. If something fails to start, Start stops the rest and returns the error.
 func (f *Fleet) Start() error {
 	f.servers = map[name]*backend.Server{}
 	if err := f.start(); err != nil {
@@ -94,12 +95,12 @@
 	return nil
 }
 
-// Server returns the stand-in of a backend server, nil if there is none.
+// Server returns a simulated backend server, nil if there is none of the name.
 func (f *Fleet) Server(of id.Service, server id.Server) *backend.Server {
 	return f.servers[name{of, server}]
 }
 
-// File returns the service file of a service, nil if there is none.
+// File returns the file of a service, nil if there is none.
 func (f *Fleet) File(of id.Service) *service.File {
 	for _, file := range f.Files {
 		if file.Service == of {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// Close ends everything that was started.
+// Close stops the platform and all backend servers.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, s := range f.servers {
@@ -141,22 +142,22 @@
 }
 
 func (f *Fleet) startServer(file *service.File, s *service.Server) error {
-	stand := &backend.Server{Name: s.Name, Slots: s.Slots, Connections: s.Connections, Service: times(file)}
+	server := &backend.Server{Name: s.Name, Slots: s.Slots, Connections: s.Connections, Service: runningTimes(file)}
 	address := s.Address
 	if f.Ephemeral {
 		address = netip.AddrPortFrom(address.Addr(), 0)
 	}
-	listening, err := stand.Listen(address.String())
+	listening, err := server.Listen(address.String())
 	if err != nil {
 		return eris.Wrapf(err, "backend server %s", s.Name)
 	}
 	s.Address = listening
-	f.servers[name{file.Service, s.Name}] = stand
+	f.servers[name{file.Service, s.Name}] = server
 	return nil
 }
 
-// times returns how long requests run, by path prefix.
-func times(file *service.File) map[string]time.Duration {
+// runningTimes returns the running times of requests by path prefix.
+func runningTimes(file *service.File) map[string]time.Duration {
 	t := map[string]time.Duration{}
 	for i := range file.Classes {
 		c := &file.Classes[i]
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/shallotpier/shallotpier/internal/standin/fleet"
 )
 
-func TestStartServesTheWholeDeployment(t *testing.T) {
+func TestStartServesAllServersAndInstances(t *testing.T) {
 	is := is.New(t)
 	f, err := fleet.Load("../../../examples/dansk")
 	is.NoErr(err)
@@ -56,7 +56,7 @@
 	is.True(second.Start() != nil)
 }
 
-func TestControl(t *testing.T) {
+func TestControlSetsFaultsAndReturnsCounts(t *testing.T) {
 	is := is.New(t)
 	f, err := fleet.Load("../../../examples/dansk")
 	is.NoErr(err)
