--- a/internal/standin/peers/doc.go
+++ b/internal/standin/peers/doc.go
@@ -1,9 +1,9 @@
-// Package peers stands in for the network between entries in tests.
+// Package peers simulates the network between entries in tests.
 //
-// A [Network] joins nodes by name. Messages are encoded as JSON, as over a
-// real connection. A hook decides for each message what becomes of it: lost,
-// late, or delivered while its answer is lost. A paused node takes and sends
-// nothing until it is resumed. Works under testing/synctest.
+// A [Network] connects nodes by name. Messages are encoded as JSON, as on a real
+// connection. A hook determines for each message whether it is lost or delayed, or
+// whether its answer is lost. A paused node neither sends nor receives messages
+// until it is resumed. The package works under testing/synctest.
 //
 // # Usage
 //
--- a/internal/standin/peers/network.go
+++ b/internal/standin/peers/network.go
@@ -13,29 +13,30 @@
 )
 
 type (
-	// Message describes a call to a hook.
+	// Message describes a call; it is passed to the hook.
 	Message struct {
-		// From is the caller.
+		// From is the calling node.
 		From id.Instance
 		// To is the called node.
 		To id.Instance
 		// Method is the called method.
 		Method string
-		// Size is the number of bytes of the parameters.
+		// Size is the size of the encoded parameters in bytes.
 		Size int
 	}
 
-	// Fate is what becomes of a message. The zero Fate delivers it at once.
+	// Fate describes how a message is delivered. The zero value delivers the
+	// message and its answer without delay.
 	Fate struct {
-		// Lost keeps the message from being delivered.
+		// Lost drops the message.
 		Lost bool
-		// AnswerLost keeps the answer from being delivered.
+		// AnswerLost drops the answer.
 		AnswerLost bool
-		// Delay passes before the message and again before the answer.
+		// Delay is the one-way delay, applied to the message and to the answer.
 		Delay time.Duration
 	}
 
-	// Network joins nodes. The zero Network has none; it is safe for
+	// Network connects nodes. The zero Network has no nodes. It is safe for
 	// concurrent use.
 	Network struct {
 		mu    sync.Mutex
@@ -45,7 +46,7 @@
 		bytes int
 	}
 
-	// Node is one process on the network. It is a peer.Caller.
+	// Node is one process on the network. It implements peer.Caller.
 	Node struct {
 		network  *Network
 		self     peer.Sender
@@ -56,8 +57,8 @@
 
 var _ peer.Caller = (*Node)(nil)
 
-// Node adds a process. One with the same instance name is replaced: messages
-// no longer reach it.
+// Node adds a process. It replaces a process of the same instance name, which no
+// longer receives messages.
 func (n *Network) Node(self peer.Sender) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,37 +70,37 @@
 	return node
 }
 
-// Remove ends the process of the name.
+// Remove removes the process of the given name.
 func (n *Network) Remove(name id.Instance) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, name)
 }
 
-// SetHook lets hook decide on each message; nil delivers all. The hook is
-// called with the network locked, so it must not use it.
+// SetHook sets the hook that determines the delivery of each message; nil delivers
+// all. The hook is called with the network locked and must not use the network.
 func (n *Network) SetHook(hook func(Message) Fate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hook = hook
 }
 
-// Sent returns the number of calls so far and the bytes of their parameters
-// and answers.
+// Sent returns the number of calls so far and the total size of their parameters
+// and answers in bytes.
 func (n *Network) Sent() (calls, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls, n.bytes
 }
 
-// Register lets handler answer the method.
+// Register registers the handler of a method.
 func (n *Node) Register(method string, handler peer.Handler) {
 	n.network.mu.Lock()
 	defer n.network.mu.Unlock()
 	n.handlers[method] = handler
 }
 
-// Pause lets messages to and from the node wait until Resume.
+// Pause blocks messages to and from the node until Resume.
 func (n *Node) Pause() {
 	n.network.mu.Lock()
 	defer n.network.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// Resume lets waiting messages go on.
+// Resume releases the messages that Pause has blocked.
 func (n *Node) Resume() {
 	n.network.mu.Lock()
 	defer n.network.mu.Unlock()
@@ -118,25 +119,25 @@
 	}
 }
 
-// Call sends a request to a node.
+// Call sends a request to a node and waits for its answer.
 func (n *Node) Call(ctx context.Context, to id.Instance, method string, params, result any) error {
 	sent, err := json.Marshal(params)
 	if err != nil {
 		return eris.Wrap(err, "encode parameters")
 	}
-	fate, err := n.network.send(Message{From: n.self.Instance, To: to, Method: method, Size: len(sent)})
+	delivery, err := n.network.admit(Message{From: n.self.Instance, To: to, Method: method, Size: len(sent)})
 	if err != nil {
 		return err
 	}
-	if err := n.transfer(ctx, fate); err != nil {
+	if err := n.transfer(ctx, delivery); err != nil {
 		return err
 	}
 	answer, err := n.network.deliver(ctx, n.self, to, method, sent)
 	if err != nil {
 		return err
 	}
-	fate.Lost = fate.AnswerLost
-	if err := n.transfer(ctx, fate); err != nil {
+	delivery.Lost = delivery.AnswerLost
+	if err := n.transfer(ctx, delivery); err != nil {
 		return err
 	}
 	if result == nil {
@@ -145,38 +146,41 @@
 	return eris.Wrap(json.Unmarshal(answer, result), "decode answer")
 }
 
-func (n *Node) transfer(ctx context.Context, fate Fate) error {
+// transfer blocks while the node is paused and for the delay of the message; a lost
+// message blocks until ctx ends.
+func (n *Node) transfer(ctx context.Context, delivery Fate) error {
 	if err := n.network.wait(ctx, n); err != nil {
 		return err
 	}
-	if fate.Lost {
+	if delivery.Lost {
 		<-ctx.Done()
 		return eris.Wrap(ctx.Err(), "message lost")
 	}
-	if fate.Delay == 0 {
+	if delivery.Delay == 0 {
 		return nil
 	}
 	select {
-	case <-time.After(fate.Delay):
+	case <-time.After(delivery.Delay):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (n *Network) send(m Message) (Fate, error) {
+// admit counts a message and asks the hook for its delivery.
+func (n *Network) admit(m Message) (Fate, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls++
 	n.bytes += m.Size
-	var fate Fate
+	var delivery Fate
 	if n.hook != nil {
-		fate = n.hook(m)
+		delivery = n.hook(m)
 	}
-	if _, ok := n.nodes[m.To]; !ok && !fate.Lost {
-		return fate, eris.Errorf("no node %s", m.To)
+	if _, ok := n.nodes[m.To]; !ok && !delivery.Lost {
+		return delivery, eris.Errorf("node %s does not exist", m.To)
 	}
-	return fate, nil
+	return delivery, nil
 }
 
 func (n *Network) deliver(ctx context.Context, from peer.Sender, to id.Instance, method string, params json.RawMessage) (json.RawMessage, error) {
@@ -188,7 +192,7 @@
 	}
 	n.mu.Unlock()
 	if handler == nil {
-		return nil, eris.Errorf("no method %s at %s", method, to)
+		return nil, eris.Errorf("no handler for method %s at node %s", method, to)
 	}
 	if err := n.wait(ctx, node); err != nil {
 		return nil, err
@@ -204,7 +208,7 @@
 	return answer, eris.Wrap(err, "encode answer")
 }
 
-// wait returns when the node isn't paused.
+// wait blocks while the node is paused.
 func (n *Network) wait(ctx context.Context, node *Node) error {
 	n.mu.Lock()
 	resumed := node.resumed
