--- a/internal/standin/pipe/doc.go
+++ b/internal/standin/pipe/doc.go
@@ -1,9 +1,9 @@
-// Package pipe is a network in memory for tests with a paused clock, where
-// loopback sockets can't be used.
+// Package pipe is an in-memory network for tests under testing/synctest, whose fake
+// clock doesn't work with loopback sockets.
 //
-// A [Network] joins listeners and dialers by address. Its connections have
-// deadlines and no buffer, as those of net.Pipe, and can be closed for each
-// direction by itself.
+// A [Network] connects listeners and dialers by address. Like those of net.Pipe,
+// its connections support deadlines and have no buffer; in addition, each
+// direction can be closed separately.
 //
 // # Usage
 //
--- a/internal/standin/pipe/network.go
+++ b/internal/standin/pipe/network.go
@@ -11,18 +11,18 @@
 )
 
 type (
-	// Network joins listeners and dialers by address. The zero Network is
-	// ready for use and safe for concurrent use.
+	// Network connects listeners and dialers by address. The zero Network is
+	// ready for use. It is safe for concurrent use.
 	Network struct {
 		mu        sync.Mutex
 		listeners map[netip.AddrPort]*listener
 	}
 
-	// duplex is a connection of two pipes, one for each direction, so that
-	// each can be closed by itself.
+	// duplex is a connection of two pipes, one for each direction, so that each
+	// direction can be closed separately.
 	duplex struct {
-		r, w  net.Conn
-		local net.Addr
+		r, w net.Conn
+		addr net.Addr
 	}
 
 	listener struct {
@@ -34,7 +34,7 @@
 	}
 )
 
-// Listen listens on an address that no open listener has.
+// Listen listens on an address. It returns an error if the address is in use.
 func (n *Network) Listen(addr netip.AddrPort) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,7 +54,8 @@
 	return l, nil
 }
 
-// Dial connects to the listener at addr. It fails at once if there is none.
+// Dial connects to the listener at addr. It returns an error at once if there is
+// none.
 func (n *Network) Dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -62,7 +63,7 @@
 	if l == nil {
 		return nil, eris.Errorf("dial %s: connection refused", addr)
 	}
-	near, far := join(addr)
+	near, far := newPair(addr)
 	select {
 	case l.conns <- far:
 		return near, nil
@@ -83,7 +84,7 @@
 	}
 }
 
-// Close stops listening; open connections stay.
+// Close closes the listener; accepted connections stay open.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.remove()
@@ -92,23 +93,24 @@
 	return nil
 }
 
-// Addr returns the address that was listened on.
+// Addr returns the listener's address.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.addr) }
 
-func join(addr netip.AddrPort) (near, far *duplex) {
+// newPair returns the dialer's and the listener's end of a connection.
+func newPair(addr netip.AddrPort) (near, far *duplex) {
 	at := net.TCPAddrFromAddrPort(addr)
-	there, here := net.Pipe()
-	back, forth := net.Pipe()
-	return &duplex{r: back, w: there, local: at}, &duplex{r: here, w: forth, local: at}
+	nearWriter, farReader := net.Pipe()
+	nearReader, farWriter := net.Pipe()
+	return &duplex{r: nearReader, w: nearWriter, addr: at}, &duplex{r: farReader, w: farWriter, addr: at}
 }
 
-// Read reads from the other side.
+// Read reads from the other end.
 func (d *duplex) Read(p []byte) (int, error) { return d.r.Read(p) }
 
-// Write writes to the other side.
+// Write writes to the other end.
 func (d *duplex) Write(p []byte) (int, error) { return d.w.Write(p) }
 
-// CloseWrite lets the other side read to an end.
+// CloseWrite closes the writing direction; the other end reads io.EOF.
 func (d *duplex) CloseWrite() error { return d.w.Close() }
 
 // Close closes both directions.
@@ -117,13 +119,13 @@
 	return d.r.Close()
 }
 
-// LocalAddr returns the address that was dialled.
-func (d *duplex) LocalAddr() net.Addr { return d.local }
+// LocalAddr returns the address that was dialled; both ends share it.
+func (d *duplex) LocalAddr() net.Addr { return d.addr }
 
-// RemoteAddr returns the address that was dialled.
-func (d *duplex) RemoteAddr() net.Addr { return d.local }
+// RemoteAddr returns the address that was dialled; both ends share it.
+func (d *duplex) RemoteAddr() net.Addr { return d.addr }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of reads and writes.
 func (d *duplex) SetDeadline(t time.Time) error {
 	_ = d.r.SetReadDeadline(t)
 	return d.w.SetWriteDeadline(t)
