--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -15,10 +15,10 @@
 
 const (
 	objectsPath = "/objects/"
-	maxWait     = 5 * time.Minute
+	maxWait     = 5 * time.Minute // upper bound of a watch's wait
 )
 
-// NewHandler serves a store and a list of instances on one address.
+// NewHandler returns a handler for a store and a list of instances.
 func NewHandler(s *Store, i *Instances) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", s)
@@ -157,7 +157,7 @@
 	}
 	v, ok := parseTag(match)
 	if !ok {
-		return store.Condition{}, errors.New("If-Match is not a version")
+		return store.Condition{}, errors.New("If-Match must be a version number")
 	}
 	return store.IfVersion(v), nil
 }
@@ -193,8 +193,8 @@
 	return dec.Decode(v)
 }
 
-// writeError maps a store's error to a status; a lost answer ends the
-// connection without one.
+// writeError maps a store error to a status. For a lost answer, it closes the
+// connection without an answer.
 func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
--- a/internal/standin/platform/instances.go
+++ b/internal/standin/platform/instances.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// Instances is a list of instances that shows changes after a lag. The
-	// zero Instances is empty; it is safe for concurrent use.
+	// Instances is a list of instances that shows changes after a lag. The zero
+	// Instances is empty. It is safe for concurrent use.
 	Instances struct {
 		mu      sync.Mutex
 		lag     time.Duration
@@ -32,21 +32,22 @@
 
 var _ instances.Lister = (*Instances)(nil)
 
-// SetLag sets how long changes take to show, also those already made.
+// SetLag sets the time after which changes are shown, including changes already
+// made.
 func (i *Instances) SetLag(lag time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lag = lag
 }
 
-// SetDown makes the list unreachable, or reachable again.
+// SetDown makes the list unavailable, or available again.
 func (i *Instances) SetDown(down bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.down = down
 }
 
-// Set records an instance's state as of now.
+// Set sets the state of an instance from now on.
 func (i *Instances) Set(instance instances.Instance) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -56,7 +57,7 @@
 	i.changes[instance.Name] = append(i.changes[instance.Name], change{instance, time.Now()})
 }
 
-// SetState changes the state of an instance that was set before.
+// SetState changes the state of a known instance; it ignores an unknown one.
 func (i *Instances) SetState(name id.Instance, state instances.State) {
 	i.mu.Lock()
 	all := i.changes[name]
@@ -69,12 +70,12 @@
 	i.Set(next)
 }
 
-// List returns the instances as they were one lag ago, by name.
+// List returns the instances as they were one lag ago, sorted by name.
 func (i *Instances) List(context.Context) ([]instances.Instance, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.down {
-		return nil, eris.New("list of instances unavailable")
+		return nil, eris.New("instance list unavailable")
 	}
 	asOf := time.Now().Add(-i.lag)
 	list := []instances.Instance{}
@@ -92,8 +93,8 @@
 	return list, nil
 }
 
-// ServeHTTP answers GET /instances with the list, and takes one instance by
-// PUT /instances.
+// ServeHTTP returns the list for GET /instances and sets one instance for PUT
+// /instances.
 func (i *Instances) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -14,7 +14,7 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Kinds of calls.
+// Kinds of store calls.
 const (
 	Get    Kind = "get"
 	Put    Kind = "put"
@@ -23,38 +23,40 @@
 	Watch  Kind = "watch"
 )
 
-const keptStates = 64
+// maxStates is the number of states of an object that are kept for stale reads.
+const maxStates = 64
 
 type (
-	// Kind is a kind of call of the store.
+	// Kind is a kind of store call.
 	Kind string
 
-	// Call describes a call to a hook.
+	// Call describes a store call; it is passed to the hook.
 	Call struct {
 		// Kind is the kind of call.
 		Kind Kind
-		// Key is the key or prefix.
+		// Key is the key, or the prefix of a list.
 		Key string
-		// From names the Client that calls; empty for others.
+		// From is the name of the calling Client; empty for other code.
 		From string
-		// Count numbers the calls of the store from 1.
+		// Count is the number of the call, counted from 1.
 		Count int
 	}
 
-	// Fault is what goes wrong with a call. The zero Fault is none.
+	// Fault is a fault to inject into a call. The zero Fault has no effect.
 	Fault struct {
-		// Down refuses the call; nothing is written.
+		// Down rejects the call; nothing is written.
 		Down bool `json:"down"`
-		// Delay passes before the call takes effect, and again before the
-		// answer of a watch that had to wait.
+		// Delay is the time before the call takes effect; it is added again
+		// before the answer of a watch that had to wait.
 		Delay unit.Duration `json:"delay"`
-		// Lost lets the call take effect and loses its answer.
+		// Lost drops the answer; the call takes effect.
 		Lost bool `json:"lost"`
-		// Stale is how old the state is that reads and watches see.
+		// Stale is the age of the state that reads and watches return.
 		Stale unit.Duration `json:"stale"`
 	}
 
-	// Limits are the calls a second that the store takes; 0 means no limit.
+	// Limits are the numbers of calls per second that the store accepts; 0
+	// means no limit.
 	Limits struct {
 		// Writes limits puts and deletes.
 		Writes int `json:"writes"`
@@ -62,8 +64,8 @@
 		Reads int `json:"reads"`
 	}
 
-	// Store is an object store in memory. The zero Store is empty and ready;
-	// it is safe for concurrent use.
+	// Store is an in-memory object store. The zero Store is empty and ready for
+	// use. It is safe for concurrent use.
 	Store struct {
 		mu       sync.Mutex
 		revision store.Version
@@ -78,10 +80,10 @@
 		calls    int
 	}
 
-	// Client is a Store as one named caller sees it; hooks see the name.
+	// Client calls a Store under a name, which is passed to the hook.
 	Client struct {
 		*Store
-		// Name is given to hooks as Call.From.
+		// Name is the value of Call.From.
 		Name string
 	}
 
@@ -91,7 +93,7 @@
 		deleted bool
 	}
 
-	callerKey struct{}
+	clientKey struct{}
 )
 
 var (
@@ -102,7 +104,7 @@
 	errLost      = eris.New("answer lost")
 )
 
-// SetFault puts a fault in force for all calls, including waiting watches.
+// SetFault sets the fault that applies to all calls, including waiting watches.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,22 +112,22 @@
 	s.broadcast()
 }
 
-// SetHook asks hook for a further fault of each call; nil removes it. The hook
-// must not call the store.
+// SetHook sets a hook that returns an additional fault for each call; nil removes
+// it. The hook must not call the store.
 func (s *Store) SetHook(hook func(Call) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hook = hook
 }
 
-// SetLimits puts rate limits in force.
+// SetLimits sets the rate limits.
 func (s *Store) SetLimits(l Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = l
 }
 
-// Counts returns the number of calls so far by kind, refused ones included.
+// Counts returns the number of calls so far by kind, including rejected ones.
 func (s *Store) Counts() map[Kind]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +152,7 @@
 // Put writes the value if the condition holds.
 func (s *Store) Put(ctx context.Context, key string, value []byte, cond store.Condition) (store.Version, error) {
 	if len(value) > store.MaxValue {
-		return 0, eris.Errorf("value of %d bytes is over the store's limit", len(value))
+		return 0, eris.Errorf("value has %d bytes, limit is %d", len(value), store.MaxValue)
 	}
 	value = slices.Clone(value)
 	return s.write(ctx, Put, key, func() (store.Version, error) {
@@ -175,7 +177,7 @@
 	return err
 }
 
-// List returns all objects whose key starts with prefix, by key.
+// List returns all objects whose key starts with prefix, sorted by key.
 func (s *Store) List(ctx context.Context, prefix string) ([]store.Object, error) {
 	f, err := s.begin(ctx, List, prefix)
 	if err != nil {
@@ -199,7 +201,7 @@
 	return all, nil
 }
 
-// Watch returns the object as soon as its version is not seen.
+// Watch returns the object under key as soon as its version differs from seen.
 func (s *Store) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
 	f, err := s.begin(ctx, Watch, key)
 	if err != nil {
@@ -231,35 +233,35 @@
 
 // Get returns the object under key.
 func (c *Client) Get(ctx context.Context, key string) (store.Object, error) {
-	return c.Store.Get(c.named(ctx), key)
+	return c.Store.Get(c.withName(ctx), key)
 }
 
 // Put writes the value if the condition holds.
 func (c *Client) Put(ctx context.Context, key string, value []byte, cond store.Condition) (store.Version, error) {
-	return c.Store.Put(c.named(ctx), key, value, cond)
+	return c.Store.Put(c.withName(ctx), key, value, cond)
 }
 
 // Delete removes the object if the condition holds.
 func (c *Client) Delete(ctx context.Context, key string, cond store.Condition) error {
-	return c.Store.Delete(c.named(ctx), key, cond)
+	return c.Store.Delete(c.withName(ctx), key, cond)
 }
 
 // List returns all objects whose key starts with prefix.
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Object, error) {
-	return c.Store.List(c.named(ctx), prefix)
+	return c.Store.List(c.withName(ctx), prefix)
 }
 
-// Watch returns the object as soon as its version is not seen.
+// Watch returns the object under key as soon as its version differs from seen.
 func (c *Client) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
-	return c.Store.Watch(c.named(ctx), key, seen)
+	return c.Store.Watch(c.withName(ctx), key, seen)
 }
 
-func (c *Client) named(ctx context.Context) context.Context {
-	return context.WithValue(ctx, callerKey{}, c.Name)
+func (c *Client) withName(ctx context.Context) context.Context {
+	return context.WithValue(ctx, clientKey{}, c.Name)
 }
 
-// begin counts the call and returns its fault, after the fault's delay for
-// other calls than writes.
+// begin counts the call and returns its fault. For reads and watches, it first
+// waits for the fault's delay.
 func (s *Store) begin(ctx context.Context, kind Kind, key string) (Fault, error) {
 	f, err := s.admit(ctx, kind, key)
 	if err != nil || f.Delay == 0 || kind == Put || kind == Delete {
@@ -273,8 +275,9 @@
 	}
 }
 
+// admit counts the call and rejects it during an outage or over a rate limit.
 func (s *Store) admit(ctx context.Context, kind Kind, key string) (Fault, error) {
-	from, _ := ctx.Value(callerKey{}).(string)
+	from, _ := ctx.Value(clientKey{}).(string)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.counts == nil {
@@ -311,12 +314,13 @@
 	return limit > 0 && *used > limit
 }
 
+// write applies a change after the fault's delay, even if ctx ends first.
 func (s *Store) write(ctx context.Context, kind Kind, key string, apply func() (store.Version, error)) (store.Version, error) {
 	f, err := s.begin(ctx, kind, key)
 	if err != nil {
 		return 0, err
 	}
-	locked := func() (store.Version, error) {
+	applyLocked := func() (store.Version, error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return apply()
@@ -328,18 +332,19 @@
 		case <-ctx.Done():
 			go func() {
 				<-late.C
-				_, _ = locked()
+				_, _ = applyLocked()
 			}()
 			return 0, eris.Wrap(store.ErrAmbiguous, "no answer in time")
 		}
 	}
-	v, err := locked()
+	v, err := applyLocked()
 	if f.Lost {
 		return 0, eris.Wrap(store.ErrAmbiguous, "answer lost")
 	}
 	return v, err
 }
 
+// read returns the object as of the fault's staleness. The store must be locked.
 func (s *Store) read(key string, f Fault) (store.Object, error) {
 	if f.Lost {
 		return store.Object{}, errors.Join(store.ErrUnavailable, errLost)
@@ -373,14 +378,16 @@
 	s.revision++
 	o := store.Object{Key: key, Version: s.revision, Value: value}
 	states := append(s.objects[key], state{object: o, since: time.Now(), deleted: deleted})
-	if len(states) > keptStates {
-		states = slices.Delete(states, 0, len(states)-keptStates)
+	if len(states) > maxStates {
+		states = slices.Delete(states, 0, len(states)-maxStates)
 	}
 	s.objects[key] = states
 	s.broadcast()
 	return s.revision
 }
 
+// changes returns a channel that is closed at the next change of an object or of
+// the fault. The store must be locked.
 func (s *Store) changes() <-chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
--- a/internal/standin/platform/store_test.go
+++ b/internal/standin/platform/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-func TestFaults(t *testing.T) {
+func TestFaultsAffectReadsWritesAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := new(platform.Store)
@@ -28,7 +28,7 @@
 		s.SetFault(platform.Fault{Stale: unit.Duration(time.Second)})
 		o, err := s.Get(ctx, "k")
 		is.NoErr(err)
-		is.Equal(string(o.Value), "1") // an older state
+		is.Equal(string(o.Value), "1") // stale read
 
 		s.SetFault(platform.Fault{Delay: unit.Duration(10 * time.Second)})
 		short, cancel := context.WithTimeout(ctx, time.Second)
@@ -40,7 +40,7 @@
 		is.Equal(string(o.Value), "2") // not yet written
 		o, err = s.Watch(ctx, "k", o.Version)
 		is.NoErr(err)
-		is.Equal(string(o.Value), "3") // written after its caller gave up
+		is.Equal(string(o.Value), "3") // written after the context of the call ended
 
 		go func() {
 			time.Sleep(time.Hour)
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestHookSeesTheClient(t *testing.T) {
+func TestHookReceivesClientName(t *testing.T) {
 	is := is.New(t)
 	s := new(platform.Store)
 	s.SetHook(func(c platform.Call) platform.Fault { return platform.Fault{Down: c.From == "a"} })
