--- a/internal/standin/ports/block_test.go
+++ b/internal/standin/ports/block_test.go
@@ -9,15 +9,15 @@
 	"github.com/shallotpier/shallotpier/internal/standin/ports"
 )
 
-func TestReserveGivesDistinctFreeAddresses(t *testing.T) {
+func TestReserveReturnsDistinctFreeAddresses(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]bool{}
 	for range 3 {
 		b, err := ports.Reserve(50)
 		is.NoErr(err)
 		defer b.Close()
-		for place := range 50 {
-			address := b.Address(place).String()
+		for index := range 50 {
+			address := b.Address(index).String()
 			is.True(!seen[address])
 			seen[address] = true
 		}
--- a/internal/standin/ports/doc.go
+++ b/internal/standin/ports/doc.go
@@ -1,10 +1,10 @@
-// Package ports reserves loopback ports for stand-ins and tests that have to
-// know addresses before anything listens on them.
+// Package ports reserves loopback ports for simulations and tests that need to know
+// addresses before anything listens on them.
 //
-// A free port that the system chose may be taken by any outgoing connection
-// once it is closed. A [Block] is a run of ports below the range that the
-// system chooses from. Its first port stays open as a lock, so that no other
-// process of this package uses the block at the same time.
+// After an ephemeral port is closed, any outgoing connection may take it. A [Block]
+// is therefore a range of consecutive ports below the system's ephemeral range. Its
+// first port stays open as a lock, so that no other process with this package
+// uses the block at the same time.
 //
 // # Usage
 //
