--- a/internal/standin/wan/doc.go
+++ b/internal/standin/wan/doc.go
@@ -1,15 +1,14 @@
-// Package wan stands in for the network between availability zones: loopback
-// connections on which every byte arrives one-way delays later.
+// Package wan simulates the network between availability zones on loopback: every
+// byte arrives after the one-way delay between the zones.
 //
-// A [Network] knows the zone of each address. A dialed connection is a real
-// TCP connection, so that its deadlines, half-closing and socket queues are
-// those of the system; a relay behind it holds what is sent for the delay of
-// the deployment. Connecting takes one round trip. The capacity of links is
-// not modelled.
+// A [Network] maps addresses to zones. A dialled connection is a real TCP
+// connection, so that deadlines, half-closing and socket buffers are those of the
+// operating system; a relay behind it delays the data as configured in the
+// deployment. Connecting takes one round trip. Link capacity is not modelled.
 //
 // # Usage
 //
-//	n := &wan.Network{World: world}
+//	n := &wan.Network{World: spec}
 //	defer n.Close()
 //	n.Place(server.Address, server.Zone)
 //	conn, err := n.Dial(ctx, "east-kakheti-1", server.Address)
--- a/internal/standin/wan/network.go
+++ b/internal/standin/wan/network.go
@@ -16,23 +16,23 @@
 
 const (
 	chunkBytes = 32 << 10
-	maxChunks  = 128 // on the way in one direction of a connection
+	maxChunks  = 128 // in flight in one direction of a connection
 )
 
 type (
-	// Network joins zones with the delays of a deployment. It is safe for
+	// Network connects zones with the delays of a deployment. It is safe for
 	// concurrent use.
 	Network struct {
 		// World holds the zones and their delays.
 		World *deployment.Deployment
 
-		mu     sync.Mutex
-		places map[netip.AddrPort]id.Zone
-		near   net.Listener // takes the callers' ends of relayed connections
-		waits  map[netip.AddrPort]chan net.Conn
-		open   map[net.Conn]struct{}
-		closed bool
-		sent   map[Direction]*atomic.Int64
+		mu       sync.Mutex
+		zones    map[netip.AddrPort]id.Zone
+		listener net.Listener                     // accepts the near ends of relayed connections
+		pairs    map[netip.AddrPort]chan net.Conn // passes accepted connections, by the dialled end's address
+		open     map[net.Conn]struct{}
+		closed   bool
+		sent     map[Direction]*atomic.Int64
 	}
 
 	// Direction is one direction between two regions.
@@ -43,38 +43,38 @@
 		To id.Region
 	}
 
-	// chunk is what was read at once, or the end of what is sent.
+	// chunk is the data of one read with the time at which it is delivered.
 	chunk struct {
 		data []byte
 		due  time.Time
 	}
 )
 
-// Place says that the address is in the zone.
+// Place assigns the address to the zone.
 func (n *Network) Place(address netip.AddrPort, zone id.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.places == nil {
-		n.places = map[netip.AddrPort]id.Zone{}
+	if n.zones == nil {
+		n.zones = map[netip.AddrPort]id.Zone{}
 	}
-	n.places[address] = zone
+	n.zones[address] = zone
 }
 
-// Dial connects from a zone to a placed address.
+// Dial connects from a zone to an address that was assigned to a zone by Place.
 func (n *Network) Dial(ctx context.Context, from id.Zone, to netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
-	zone, ok := n.places[to]
+	zone, ok := n.zones[to]
 	n.mu.Unlock()
 	if !ok {
-		return nil, eris.Errorf("address %s is in no zone", to)
+		return nil, eris.Errorf("address %s is not assigned to a zone", to)
 	}
 	a, _ := n.World.Region(from)
 	b, _ := n.World.Region(zone)
 	return n.dial(ctx, n.World.Delay(from, zone), to, Direction{From: a, To: b})
 }
 
-// Sent returns the bytes that were sent so far between each two regions,
-// clients excepted.
+// Sent returns the number of bytes sent so far in each direction between two
+// regions, without traffic of clients.
 func (n *Network) Sent() map[Direction]int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,18 +87,19 @@
 	return out
 }
 
-// DialClient connects from a client to an entry's address.
+// DialClient connects from a client to an entry's address, with the delay of
+// clients.
 func (n *Network) DialClient(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	return n.dial(ctx, n.World.Delays.Clients.Std(), to, Direction{})
 }
 
-// Close ends all relayed connections.
+// Close closes all relayed connections and prevents new ones.
 func (n *Network) Close() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
-	if n.near != nil {
-		n.near.Close()
+	if n.listener != nil {
+		n.listener.Close()
 	}
 	for c := range n.open {
 		c.Close()
@@ -106,7 +107,7 @@
 	return nil
 }
 
-func (n *Network) dial(ctx context.Context, delay time.Duration, to netip.AddrPort, way Direction) (net.Conn, error) {
+func (n *Network) dial(ctx context.Context, delay time.Duration, to netip.AddrPort, direction Direction) (net.Conn, error) {
 	var d net.Dialer
 	far, err := d.DialContext(ctx, "tcp", to.String())
 	if err != nil {
@@ -121,32 +122,33 @@
 		far.Close()
 		return nil, ctx.Err()
 	}
-	caller, near, err := n.pair(ctx)
+	client, near, err := n.pair(ctx)
 	if err != nil {
 		far.Close()
 		return nil, err
 	}
-	n.relay(near, far, delay, way)
-	return caller, nil
+	n.relay(near, far, delay, direction)
+	return client, nil
 }
 
-// pair returns the two ends of a loopback connection.
-func (n *Network) pair(ctx context.Context) (caller, near net.Conn, err error) {
+// pair returns the two ends of a loopback connection, the first for the dialling code
+// and the second for the relay.
+func (n *Network) pair(ctx context.Context) (client, near net.Conn, err error) {
 	l, err := n.listen()
 	if err != nil {
 		return nil, nil, err
 	}
 	var d net.Dialer
-	caller, err = d.DialContext(ctx, "tcp", l.Addr().String())
+	client, err = d.DialContext(ctx, "tcp", l.Addr().String())
 	if err != nil {
 		return nil, nil, err
 	}
-	local := netip.MustParseAddrPort(caller.LocalAddr().String())
+	local := netip.MustParseAddrPort(client.LocalAddr().String())
 	select {
-	case near = <-n.meeting(local):
-		return caller, near, nil
+	case near = <-n.rendezvous(local):
+		return client, near, nil
 	case <-ctx.Done():
-		caller.Close()
+		client.Close()
 		return nil, nil, ctx.Err()
 	}
 }
@@ -157,14 +159,14 @@
 	if n.closed {
 		return nil, net.ErrClosed
 	}
-	if n.near != nil {
-		return n.near, nil
+	if n.listener != nil {
+		return n.listener, nil
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
 	}
-	n.near, n.waits, n.open = l, map[netip.AddrPort]chan net.Conn{}, map[net.Conn]struct{}{}
+	n.listener, n.pairs, n.open = l, map[netip.AddrPort]chan net.Conn{}, map[net.Conn]struct{}{}
 	go n.accept(l)
 	return l, nil
 }
@@ -176,41 +178,42 @@
 			return
 		}
 		remote := netip.MustParseAddrPort(c.RemoteAddr().String())
-		n.meeting(remote) <- c
+		n.rendezvous(remote) <- c
 	}
 }
 
-// meeting returns the channel over which the accepted end of the caller's
-// connection is handed over, whichever side comes first.
-func (n *Network) meeting(caller netip.AddrPort) chan net.Conn {
+// rendezvous returns the channel that passes the accepted end of a connection from
+// accept to pair, by the address of the dialled end. Whichever is called first
+// creates the channel.
+func (n *Network) rendezvous(local netip.AddrPort) chan net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ch, ok := n.waits[caller]
+	ch, ok := n.pairs[local]
 	if ok {
-		delete(n.waits, caller)
+		delete(n.pairs, local)
 		return ch
 	}
 	ch = make(chan net.Conn, 1)
-	n.waits[caller] = ch
+	n.pairs[local] = ch
 	return ch
 }
 
-// relay passes bytes on in both directions until both have ended.
-func (n *Network) relay(near, far net.Conn, delay time.Duration, way Direction) {
+// relay forwards bytes in both directions until both have ended.
+func (n *Network) relay(near, far net.Conn, delay time.Duration, direction Direction) {
 	n.track(near, far)
 	var both sync.WaitGroup
 	both.Add(2)
 	ends := [2]net.Conn{near, far}
-	counts := [2]*atomic.Int64{n.counter(way), n.counter(Direction{From: way.To, To: way.From})}
+	counts := [2]*atomic.Int64{n.counter(direction), n.counter(Direction{From: direction.To, To: direction.From})}
 	for i, src := range ends {
 		dst, count := ends[1-i], counts[i]
-		line := make(chan chunk, maxChunks)
-		broken := make(chan struct{})
-		go take(line, src, delay, broken)
+		queue := make(chan chunk, maxChunks)
+		failed := make(chan struct{})
+		go receive(queue, src, delay, failed)
 		go func() {
 			defer both.Done()
-			defer close(broken)
-			deliver(dst, src, line, count)
+			defer close(failed)
+			deliver(dst, src, queue, count)
 		}()
 	}
 	go func() {
@@ -251,15 +254,15 @@
 	}
 }
 
-// take reads src and puts what it read on the line.
-func take(line chan<- chunk, src net.Conn, delay time.Duration, broken <-chan struct{}) {
-	defer close(line)
+// receive reads src and queues the data until src ends or delivery has failed.
+func receive(queue chan<- chunk, src net.Conn, delay time.Duration, failed <-chan struct{}) {
+	defer close(queue)
 	for {
 		buf := make([]byte, chunkBytes)
 		size, err := src.Read(buf)
 		select {
-		case line <- chunk{data: buf[:size], due: time.Now().Add(delay)}:
-		case <-broken:
+		case queue <- chunk{data: buf[:size], due: time.Now().Add(delay)}:
+		case <-failed:
 			return
 		}
 		if err != nil {
@@ -268,10 +271,10 @@
 	}
 }
 
-// deliver writes what is due on the line to dst. When the line ends it ends
-// that direction; when dst is broken it breaks src too.
-func deliver(dst, src net.Conn, line <-chan chunk, count *atomic.Int64) {
-	for c := range line {
+// deliver writes queued data to dst when it is due. At the end of the queue, it
+// closes dst for writing; if a write fails, it closes src.
+func deliver(dst, src net.Conn, queue <-chan chunk, count *atomic.Int64) {
+	for c := range queue {
 		time.Sleep(time.Until(c.due))
 		count.Add(int64(len(c.data)))
 		if _, err := dst.Write(c.data); err != nil {
--- a/internal/standin/wan/network_test.go
+++ b/internal/standin/wan/network_test.go
@@ -18,14 +18,14 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-func world() *deployment.Deployment {
+func twoRegions() *deployment.Deployment {
 	return &deployment.Deployment{
 		Regions: []deployment.Region{{Name: "east", Zones: []id.Zone{"east-1"}}, {Name: "west", Zones: []id.Zone{"west-1"}}},
 		Delays:  deployment.Delays{Regions: unit.Duration(20 * time.Millisecond), Clients: unit.Duration(5 * time.Millisecond)},
 	}
 }
 
-// echo answers with all it was sent once that has ended.
+// echo starts a server that returns all received data at the end of its input.
 func echo(t *testing.T) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,25 +48,25 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-func TestDialDelaysEachWay(t *testing.T) {
+func TestDialDelaysBothDirections(t *testing.T) {
 	tests := map[string]struct {
-		from  id.Zone
-		least time.Duration
+		from id.Zone
+		min  time.Duration
 	}{
-		"other region": {from: "west-1", least: 80 * time.Millisecond}, // connecting, there and back
+		"other region": {from: "west-1", min: 80 * time.Millisecond}, // a round trip for connecting, then both directions
 		"same zone":    {from: "east-1"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := &wan.Network{World: world()}
+			n := &wan.Network{World: twoRegions()}
 			defer n.Close()
 			address := echo(t)
 			n.Place(address, "east-1")
-			begun := time.Now()
+			start := time.Now()
 			c, err := n.Dial(context.Background(), tt.from, address)
 			is.NoErr(err)
-			sent := make([]byte, 8<<20) // more than is held on the way
+			sent := make([]byte, 8<<20) // more than can be in flight
 			sent[len(sent)-1] = 7
 			go func() {
 				c.Write(sent)
@@ -76,7 +76,7 @@
 			is.NoErr(err)
 			is.Equal(len(got), len(sent))
 			is.Equal(got[len(got)-1], byte(7))
-			is.True(time.Since(begun) >= tt.least)
+			is.True(time.Since(start) >= tt.min)
 			if tt.from == "west-1" {
 				is.Equal(n.Sent()[wan.Direction{From: "west", To: "east"}], int64(len(sent)))
 				is.Equal(n.Sent()[wan.Direction{From: "east", To: "west"}], int64(len(sent)))
@@ -85,23 +85,23 @@
 	}
 }
 
-func TestDialUnplacedAddress(t *testing.T) {
+func TestDialFailsForUnassignedAddress(t *testing.T) {
 	is := is.New(t)
-	n := &wan.Network{World: world()}
+	n := &wan.Network{World: twoRegions()}
 	defer n.Close()
 	_, err := n.Dial(context.Background(), "east-1", netip.MustParseAddrPort("127.0.0.1:9"))
 	is.True(err != nil)
 }
 
-func TestCloseEndsConnections(t *testing.T) {
+func TestCloseClosesConnections(t *testing.T) {
 	is := is.New(t)
-	n := &wan.Network{World: world()}
+	n := &wan.Network{World: twoRegions()}
 	c, err := n.DialClient(context.Background(), echo(t))
 	is.NoErr(err)
 	is.NoErr(n.Close())
 	is.NoErr(c.SetReadDeadline(time.Now().Add(10 * time.Second)))
 	_, err = c.Read(make([]byte, 1))
-	is.True(!errors.Is(err, os.ErrDeadlineExceeded)) // it has ended
+	is.True(!errors.Is(err, os.ErrDeadlineExceeded)) // closed, not a timeout
 	_, err = n.DialClient(context.Background(), echo(t))
 	is.True(err != nil)
 }
