--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -19,10 +19,10 @@
 	"github.com/shallotpier/shallotpier/internal/standin/ports"
 )
 
-// patience bounds every wait of a scenario.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait in a scenario.
+const waitTimeout = 20 * time.Second
 
-// exitCode runs a program and holds its exit code against the first argument.
+// exitCode runs a program and compares its exit code with the first argument.
 func exitCode(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: exitcode N program args...")
@@ -40,8 +40,8 @@
 	}
 }
 
-// deploy copies an example with free ports in place of its own, and sets
-// $STORE, $CALLER1, $OPERATOR1 and so on.
+// deploy copies an example, replaces its addresses by free loopback addresses, and
+// sets $STORE, $CALLER1, $OPERATOR1 and so on.
 func deploy(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: deploy beridze|dansk")
@@ -50,7 +50,7 @@
 	ts.Check(err)
 	ts.Defer(func() { block.Close() })
 	port := regexp.MustCompile(`127\.0\.0\.1:\d+`)
-	replaced := map[string]string{}
+	replacements := map[string]string{}
 	root := filepath.Join(ts.Getenv("EXAMPLES"), args[0])
 	err = filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -61,10 +61,10 @@
 			return err
 		}
 		data = port.ReplaceAllFunc(data, func(old []byte) []byte {
-			if replaced[string(old)] == "" {
-				replaced[string(old)] = block.Address(len(replaced)).String()
+			if replacements[string(old)] == "" {
+				replacements[string(old)] = block.Address(len(replacements)).String()
 			}
-			return []byte(replaced[string(old)])
+			return []byte(replacements[string(old)])
 		})
 		relative, err := filepath.Rel(root, path)
 		if err != nil {
@@ -80,7 +80,7 @@
 	setAddresses(ts)
 }
 
-// setAddresses reads the entries' addresses back from their settings.
+// setAddresses sets the variables of addresses from the entries' settings files.
 func setAddresses(ts *testscript.TestScript) {
 	line := regexp.MustCompile(`(?m)^(caller|operator|store) = "(.*)"$`)
 	for i := 1; i <= 7; i++ {
@@ -95,8 +95,8 @@
 	}
 }
 
-// until runs a program again and again until it exits with 0 and prints what
-// the regular expression matches.
+// until runs a program repeatedly until its exit code is 0 and its output matches
+// the regular expression.
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: until pattern program args...")
@@ -107,9 +107,9 @@
 	})
 }
 
-// get asks a URL until the answer's status, and its body and headers, match.
-// The status "none" is for no answer. Later arguments are headers, as
-// Name:value.
+// get requests a URL repeatedly until the status equals the given one and the body
+// and headers match the pattern. The status "none" means no answer. Further
+// arguments are request headers of the form Name:value.
 func get(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: get url status pattern headers...")
@@ -125,8 +125,8 @@
 	})
 }
 
-// send sends one request, once, and holds its answer against status and
-// pattern.
+// send sends one request without retries and compares its answer with the status
+// and the pattern.
 func send(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 5 {
 		ts.Fatalf("usage: send method url status pattern body headers...")
@@ -134,11 +134,11 @@
 	status, seen := exchange(ts, args[0], args[1], args[4], args[5:])
 	ts.Logf("status %s\n%s", status, seen)
 	if !regexp.MustCompile("^("+args[2]+")$").MatchString(status) || !regexp.MustCompile(args[3]).MatchString(seen) {
-		ts.Fatalf("want status %s and %s", args[2], args[3])
+		ts.Fatalf("want status %s and an answer that matches %s", args[2], args[3])
 	}
 }
 
-// ticket takes a ticket for a service at an entry into a variable.
+// ticket requests a ticket for a service from an entry and stores it in a variable.
 func ticket(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: ticket address service VARIABLE")
@@ -146,7 +146,7 @@
 	_, seen := exchange(ts, http.MethodPost, args[0]+"/v1/ticket/"+args[1], "", nil)
 	m := regexp.MustCompile(`"ticket":"([^"]*)"`).FindStringSubmatch(seen)
 	if m == nil {
-		ts.Fatalf("no ticket: %s", seen)
+		ts.Fatalf("no ticket in answer: %s", seen)
 	}
 	ts.Setenv(args[2], m[1])
 }
@@ -163,13 +163,13 @@
 	})
 }
 
-// sum adds up a count of what all backend servers of a service saw, and holds
-// it against a pattern.
+// sum adds up one count of all backend servers of a service and compares the total
+// with a pattern.
 func sum(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
-		ts.Fatalf("usage: sum service count pattern [prefix of request ids]")
+		ts.Fatalf("usage: sum service count pattern [request id prefix]")
 	}
-	all, prefix := 0, strings.Join(args[3:], "")
+	total, prefix := 0, strings.Join(args[3:], "")
 	eachServer(ts, args[0], func(url string) {
 		_, seen := exchange(ts, http.MethodGet, url+"?prefix="+prefix, "", nil)
 		m := regexp.MustCompile(`"` + args[1] + `":(\d+)`).FindStringSubmatch(seen)
@@ -178,15 +178,14 @@
 		}
 		n, err := strconv.Atoi(m[1])
 		ts.Check(err)
-		all += n
+		total += n
 	})
-	if !regexp.MustCompile("^(" + args[2] + ")$").MatchString(strconv.Itoa(all)) {
-		ts.Fatalf("%s of %s is %d, want %s", args[1], args[0], all, args[2])
+	if !regexp.MustCompile("^(" + args[2] + ")$").MatchString(strconv.Itoa(total)) {
+		ts.Fatalf("%s of %s is %d, want %s", args[1], args[0], total, args[2])
 	}
 }
 
-// silence lets the open connections of all backend servers of a service go
-// silent.
+// silence stalls the open connections of all backend servers of a service.
 func silence(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: silence service")
@@ -198,8 +197,8 @@
 	})
 }
 
-// running waits until a backend server of a service runs a request, and puts
-// its name into a variable.
+// running waits until a backend server of a service runs one request, and stores
+// the server's name in a variable.
 func running(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: running service VARIABLE")
@@ -216,6 +215,7 @@
 	ts.Setenv(args[1], found)
 }
 
+// eachServer calls do with the control URL of each backend server of a service.
 func eachServer(ts *testscript.TestScript, service string, do func(url string)) {
 	data := ts.ReadFile("world/services/" + service + ".service.toml")
 	for _, m := range regexp.MustCompile(`(?m)^name = "(`+service+`-\d+)"$`).FindAllStringSubmatch(data, -1) {
@@ -223,7 +223,8 @@
 	}
 }
 
-// exchange sends one request and returns the status, and body and headers.
+// exchange sends one request and returns the status, and the body with the headers
+// that scenarios match. The status is "none" if there is no answer.
 func exchange(ts *testscript.TestScript, method, url, body string, headers []string) (status, seen string) {
 	req, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
 	ts.Check(err)
@@ -245,17 +246,19 @@
 	return strconv.Itoa(resp.StatusCode), seen
 }
 
+// repeat calls done every 50 ms until it returns true, for at most waitTimeout.
 func repeat(ts *testscript.TestScript, what string, done func() bool) {
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !done() {
 		if time.Now().After(end) {
-			ts.Fatalf("%s: not within %s", what, patience)
+			ts.Fatalf("%s: condition not met within %s", what, waitTimeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// signal sends SIGTERM to a named background program.
+// signal sends SIGTERM to the first background program whose arguments contain a
+// name.
 func signal(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: signal name")
@@ -269,7 +272,7 @@
 	ts.Fatalf("no background program has %q in its arguments", args[0])
 }
 
-// end ends all background programs at once.
+// end kills all background programs.
 func end(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 0 {
 		ts.Fatalf("usage: end")
@@ -279,18 +282,18 @@
 	}
 }
 
-// upload is a program that sends a body over a time and prints the answer:
-// upload url bytes duration.
+// upload is a program that sends a body of a given size over a given duration and
+// prints the answer. Usage: upload url bytes duration.
 func upload() {
 	size, err := strconv.Atoi(os.Args[2])
 	exitOn(err)
-	lasts, err := time.ParseDuration(os.Args[3])
+	duration, err := time.ParseDuration(os.Args[3])
 	exitOn(err)
 	body, sender := io.Pipe()
 	go func() {
 		const parts = 100
 		for range parts {
-			time.Sleep(lasts / parts)
+			time.Sleep(duration / parts)
 			sender.Write(make([]byte, size/parts))
 		}
 		sender.Close()
--- a/scenarios/doc.go
+++ b/scenarios/doc.go
@@ -1,10 +1,10 @@
-// Package scenarios holds scripted scenarios of the programs in the language
-// of testscript: one *.txtar file each, with the commands, their exit codes and
-// what they print. docs/PROMISES.md tells which promise and fault each covers.
+// Package scenarios holds scripted end-to-end tests of the programs: one testscript
+// file (*.txtar) per scenario, with commands, expected exit codes and expected
+// output. docs/PROMISES.md lists the guarantee and the fault that each covers.
 //
-// The programs run as commands of the test binary, as processes of their own:
-// shallotpier, shallotpierd and shallotpier-standin. A script names the files
-// of examples/ through $EXAMPLES.
+// The programs shallotpier, shallotpierd and shallotpier-standin run as separate
+// processes of the test binary. Scripts refer to the files of examples/ by
+// $EXAMPLES.
 //
 // # Usage
 //
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// scripts returns the scenarios, without those that KNOWN-RED.txt lists unless
+// scripts returns the scenario files, without those listed in KNOWN-RED.txt unless
 // SHALLOTPIER_RED is set.
 func scripts(t *testing.T) []string {
 	all, err := filepath.Glob("*.txtar")
