--- a/cmd/shallotpier-standin/main.go
+++ b/cmd/shallotpier-standin/main.go
@@ -1,6 +1,6 @@
-// Command shallotpier-standin runs small stand-ins of the platform and of a
-// deployment's backend servers on loopback, for trying the daemon and the
-// command line as separate processes.
+// Command shallotpier-standin simulates the platform and the backend servers of a
+// deployment on loopback, so that shallotpierd and shallotpier can be tried as
+// separate processes.
 package main
 
 import (
--- a/cmd/shallotpierd/main.go
+++ b/cmd/shallotpierd/main.go
@@ -1,4 +1,4 @@
-// Command shallotpierd is the daemon of an entry instance.
+// Command shallotpierd is the daemon that runs one entry instance.
 package main
 
 import (
