--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -18,83 +18,86 @@
 )
 
 const (
-	defaultAttempts = 3
-	defaultTimeout  = 30 * time.Second
-	lookupTimeout   = 2 * time.Second
-	maxAnswer       = 1 << 20
+	defaultAttempts  = 3
+	defaultTimeout   = 30 * time.Second
+	lookupTimeout    = 2 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
 type (
 	// Client calls services. Its fields must not change after the first call.
 	// It is safe for concurrent use.
 	Client struct {
-		// Entries are callers' addresses of entries, to ask when nothing else
-		// is known.
+		// Entries are the seed addresses: the caller listeners of some
+		// entries, asked for a lookup after the entries of the last answer.
 		Entries []netip.AddrPort
-		// Attempts is the greatest number of sends of one request; 0 is 3.
+		// Attempts is the maximum number of sends of one request; 0 means 3.
 		Attempts int
-		// Timeout bounds requests whose context has no deadline; 0 is 30 s.
+		// Timeout bounds requests whose context has no deadline; 0 means 30 s.
 		Timeout time.Duration
-		// Transport opens connections; nil is one of the client's own.
+		// Transport opens the connections; nil means a transport with default
+		// settings, private to the client.
 		Transport *http.Transport
 
-		once     sync.Once
-		kept     *http.Transport
-		single   *http.Transport
+		initOnce sync.Once
+		pooled   *http.Transport // for reads; net/http may retry on a reused connection
+		unpooled *http.Transport // for all other requests and the entries' own API
 		mu       sync.Mutex
-		services map[id.Service]*known
+		services map[id.Service]*cachedAnswer
 	}
 
 	// Request is a request to a service.
 	Request struct {
-		// Service is the service.
+		// Service names the service.
 		Service id.Service
 		// Method is the HTTP method.
 		Method string
-		// Path is the path within the service, with its query; it starts with
-		// a slash.
+		// Path is the path within the service, including the query; it starts
+		// with a slash.
 		Path string
-		// Header is sent along.
+		// Header holds additional request headers.
 		Header http.Header
-		// Body is the whole body; nil is none.
+		// Body is the whole body; nil means no body.
 		Body []byte
-		// Stream is a body that is sent once, in place of Body. A request with
-		// it is not sent again once any of it was read.
+		// Stream is a body that can be read only once; it is used if Body is
+		// nil. The request is not retried after the first read from Stream.
 		Stream io.Reader
-		// Length is the length of Stream; 0 is unknown.
+		// Length is the length of Stream in bytes; 0 means unknown.
 		Length int64
-		// ID tells the request in logs; empty lets the entry choose one.
+		// ID identifies the request in logs; if it is empty, the entry assigns
+		// one.
 		ID string
 	}
 
-	// Answer is an answer with what the entry said about it. Its Body must be
-	// closed; a body that was not received whole ends with an error.
+	// Answer is an HTTP response with the result that the entry reported. Its
+	// Body must be closed; reading a truncated body returns an error.
 	Answer struct {
 		*http.Response
-		// Code is the numbered outcome.
+		// Code is the result code.
 		Code result.Code
-		// Ran tells whether the request ran.
+		// Ran reports whether the request ran.
 		Ran result.Ran
 		// Entry is the entry that answered.
 		Entry id.Instance
 	}
 
-	// Error says why there is no answer of the backend server.
+	// Error reports why a request has no answer from the backend server.
 	Error struct {
-		// Code is the entry's code; 0 if no entry answered.
+		// Code is the entry's result code; 0 if no entry answered.
 		Code result.Code
-		// Ran tells whether the request ran.
+		// Ran reports whether the request ran.
 		Ran result.Ran
-		// RetryAfter is when the entry advised to come back; 0 if it did not.
+		// RetryAfter is the delay from the Retry-After header; 0 if there was
+		// none.
 		RetryAfter time.Duration
-		// Err is the cause, nil if the entry's code says it all.
+		// Err is the cause; nil if the entry's code is the only information.
 		Err error
 	}
 
-	// known is what is known of a service's entries.
-	known struct {
+	// cachedAnswer is the last lookup answer for a service.
+	cachedAnswer struct {
 		answer  lookup.Answer
-		until   time.Time
+		expires time.Time
 		version id.Version
 	}
 )
@@ -111,21 +114,22 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Lookup returns the entries to use for a service, from memory while the last
-// answer is valid. An answer that rests on an older configuration than one
-// seen before is passed over.
+// Lookup returns the entries to use for a service, from the cache while the
+// last answer is valid. An answer based on an older configuration version than
+// the cached one is ignored. If no entry gives a usable answer, an expired
+// answer is returned. The error is an *Error with Ran set to No.
 func (c *Client) Lookup(ctx context.Context, service id.Service) (*lookup.Answer, error) {
-	c.setUp()
+	c.initialize()
 	c.mu.Lock()
 	k, now := c.services[service], time.Now()
 	c.mu.Unlock()
-	if k != nil && now.Before(k.until) {
+	if k != nil && now.Before(k.expires) {
 		return &k.answer, nil
 	}
-	err := errors.New("no entries are known")
-	for _, addr := range c.known(k) {
+	err := errors.New("no entry addresses are known")
+	for _, addr := range c.addresses(k) {
 		var a *lookup.Answer
-		if a, err = c.ask(ctx, addr, service); err == nil && c.learn(a, now) {
+		if a, err = c.fetchLookup(ctx, addr, service); err == nil && c.cache(a, now) {
 			return a, nil
 		}
 		if ctx.Err() != nil {
@@ -133,16 +137,17 @@
 		}
 	}
 	if k != nil && len(k.answer.Entries) > 0 {
-		return &k.answer, nil // late, but the best that is known
+		return &k.answer, nil // expired, but better than none
 	}
 	if err == nil {
-		err = errors.New("all entries are behind the configuration seen before")
+		err = errors.New("all entries answered with an older configuration version than one seen before")
 	}
 	return nil, &Error{Ran: result.No, Err: err}
 }
 
-// known lists the addresses to ask: those of the last answer, then the seeds.
-func (c *Client) known(k *known) []netip.AddrPort {
+// addresses lists the addresses for a lookup: those of the last answer, then the
+// seeds.
+func (c *Client) addresses(k *cachedAnswer) []netip.AddrPort {
 	var all []netip.AddrPort
 	if k != nil {
 		for i := range k.answer.Entries {
@@ -152,15 +157,16 @@
 	return append(all, c.Entries...)
 }
 
-// learn keeps an answer unless it rests on an older configuration.
-func (c *Client) learn(a *lookup.Answer, now time.Time) bool {
+// cache stores an answer and reports whether it did so. An answer based on an
+// older configuration version than the cached one is not stored.
+func (c *Client) cache(a *lookup.Answer, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.services[a.Service]
 	if k != nil && a.Version < k.version {
 		return false
 	}
-	c.services[a.Service] = &known{answer: *a, until: now.Add(a.Valid()), version: a.Version}
+	c.services[a.Service] = &cachedAnswer{answer: *a, expires: now.Add(a.Valid()), version: a.Version}
 	return true
 }
 
@@ -173,20 +179,20 @@
 	return 0
 }
 
-// forget ends the validity of what is known of a service.
-func (c *Client) forget(service id.Service) {
+// invalidate marks a service's cached answer as expired.
+func (c *Client) invalidate(service id.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := c.services[service]; k != nil {
 		next := *k
-		next.until = time.Time{}
+		next.expires = time.Time{}
 		c.services[service] = &next
 	}
 }
 
-func (c *Client) ask(ctx context.Context, addr netip.AddrPort, service id.Service) (*lookup.Answer, error) {
+func (c *Client) fetchLookup(ctx context.Context, addr netip.AddrPort, service id.Service) (*lookup.Answer, error) {
 	a := new(lookup.Answer)
-	if err := c.call(ctx, http.MethodGet, "http://"+addr.String()+"/v1/lookup/"+string(service), a); err != nil {
+	if err := c.callEntry(ctx, http.MethodGet, "http://"+addr.String()+"/v1/lookup/"+string(service), a); err != nil {
 		return nil, err
 	}
 	if err := a.Check(); err != nil {
@@ -198,32 +204,32 @@
 	return a, nil
 }
 
-// call asks the entry itself and decodes its answer.
-func (c *Client) call(ctx context.Context, method, url string, dst any) error {
+// callEntry sends a request to the entry's own API and decodes the JSON answer.
+func (c *Client) callEntry(ctx context.Context, method, url string, dst any) error {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := c.single.RoundTrip(req)
+	resp, err := c.unpooled.RoundTrip(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return errorOf(resp)
 	}
 	return json.Unmarshal(data, dst)
 }
 
-// order returns the entries in the order in which to try them: one chosen by
-// weight, then the others as listed.
-func order(a *lookup.Answer) []lookup.Entry {
+// weightedOrder returns the entries in the order in which to try them: one
+// chosen at random by weight, then the others as listed.
+func weightedOrder(a *lookup.Answer) []lookup.Entry {
 	sum := 0
 	for i := range a.Entries {
 		sum += a.Entries[i].Weight
@@ -244,14 +250,14 @@
 	return all
 }
 
-func (c *Client) setUp() {
-	c.once.Do(func() {
-		c.services = map[id.Service]*known{}
-		c.kept = c.Transport
-		if c.kept == nil {
-			c.kept = &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}
+func (c *Client) initialize() {
+	c.initOnce.Do(func() {
+		c.services = map[id.Service]*cachedAnswer{}
+		c.pooled = c.Transport
+		if c.pooled == nil {
+			c.pooled = &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}
 		}
-		c.single = c.kept.Clone()
-		c.single.DisableKeepAlives = true
+		c.unpooled = c.pooled.Clone()
+		c.unpooled.DisableKeepAlives = true
 	})
 }
--- a/pkg/caller/client_test.go
+++ b/pkg/caller/client_test.go
@@ -23,7 +23,8 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// fakeEntry answers look-ups and tickets, and requests with its handler.
+// fakeEntry answers lookups and issues tickets itself, and passes requests to its
+// handler.
 type fakeEntry struct {
 	name     id.Instance
 	version  id.Version
@@ -39,10 +40,10 @@
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/lookup/"):
 		e.lookups.Add(1)
-		say(w, result.Served)
+		writeOutcome(w, result.Served)
 		_ = json.NewEncoder(w).Encode(lookup.Answer{Service: "registry", Version: e.version, ValidSeconds: e.valid, Entries: e.all()})
 	case strings.HasPrefix(r.URL.Path, "/v1/ticket/"):
-		say(w, result.Served)
+		writeOutcome(w, result.Served)
 		_ = json.NewEncoder(w).Encode(lookup.Ticket{Ticket: "ticket", Entry: e.name, ValidSeconds: 60})
 	default:
 		e.requests.Add(1)
@@ -50,7 +51,7 @@
 	}
 }
 
-func say(w http.ResponseWriter, code result.Code) {
+func writeOutcome(w http.ResponseWriter, code result.Code) {
 	info, _ := code.Info()
 	w.Header().Set(result.HeaderCode, code.String())
 	w.Header().Set(result.HeaderRan, code.Ran().String())
@@ -60,16 +61,16 @@
 }
 
 func serve(w http.ResponseWriter, _ *http.Request) {
-	say(w, result.Served)
+	writeOutcome(w, result.Served)
 	fmt.Fprintln(w, "findings")
 }
 
 func refuse(code result.Code) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { say(w, code) }
+	return func(w http.ResponseWriter, _ *http.Request) { writeOutcome(w, code) }
 }
 
-// hangUp ends the connection after the whole request has come.
-func hangUp(_ http.ResponseWriter, r *http.Request) {
+// abort closes the connection without an answer after it read the whole request.
+func abort(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
@@ -85,7 +86,7 @@
 		addr := netip.MustParseAddrPort(s.Listener.Addr().String())
 		weight := 0
 		if i == 0 {
-			weight = 1 // the first is tried first
+			weight = 1 // only the first is chosen by weight
 		}
 		all = append(all, lookup.Entry{Instance: e.name, Address: addr, Weight: weight})
 		c.Entries = append(c.Entries, addr)
@@ -102,16 +103,16 @@
 		ran    result.Ran
 		sends  int32
 	}{
-		"served":                          {method: "GET", first: serve, code: result.Served, ran: result.Yes, sends: 1},
-		"read after a lost answer":        {method: "GET", first: hangUp, code: result.Served, ran: result.Yes, sends: 2},
-		"write after a lost answer":       {method: "POST", first: hangUp, ran: result.Unknown, sends: 1},
-		"read after an unknown":           {method: "GET", first: refuse(result.AnswerCut), code: result.Served, ran: result.Yes, sends: 2},
-		"write after an unknown":          {method: "POST", first: refuse(result.AnswerCut), code: result.AnswerCut, ran: result.Unknown, sends: 1},
-		"write to a leaving entry":        {method: "POST", first: refuse(result.EntryLeaving), code: result.Served, ran: result.Yes, sends: 2},
-		"write without capacity":          {method: "POST", first: refuse(result.NoCapacity), code: result.NoCapacity, ran: result.No, sends: 1},
-		"write that was quarantined":      {method: "POST", first: refuse(result.Quarantined), code: result.Quarantined, ran: result.No, sends: 1},
-		"answer that says nothing of it":  {method: "POST", first: func(http.ResponseWriter, *http.Request) {}, ran: result.Unknown, sends: 1},
-		"read with an answer of no entry": {method: "GET", first: func(http.ResponseWriter, *http.Request) {}, code: result.Served, ran: result.Yes, sends: 2},
+		"served":                      {method: "GET", first: serve, code: result.Served, ran: result.Yes, sends: 1},
+		"read after a lost answer":    {method: "GET", first: abort, code: result.Served, ran: result.Yes, sends: 2},
+		"write after a lost answer":   {method: "POST", first: abort, ran: result.Unknown, sends: 1},
+		"read with unknown outcome":   {method: "GET", first: refuse(result.AnswerCut), code: result.Served, ran: result.Yes, sends: 2},
+		"write with unknown outcome":  {method: "POST", first: refuse(result.AnswerCut), code: result.AnswerCut, ran: result.Unknown, sends: 1},
+		"write to a leaving entry":    {method: "POST", first: refuse(result.EntryLeaving), code: result.Served, ran: result.Yes, sends: 2},
+		"write without capacity":      {method: "POST", first: refuse(result.NoCapacity), code: result.NoCapacity, ran: result.No, sends: 1},
+		"write that is quarantined":   {method: "POST", first: refuse(result.Quarantined), code: result.Quarantined, ran: result.No, sends: 1},
+		"write without a result code": {method: "POST", first: func(http.ResponseWriter, *http.Request) {}, ran: result.Unknown, sends: 1},
+		"read without a result code":  {method: "GET", first: func(http.ResponseWriter, *http.Request) {}, code: result.Served, ran: result.Yes, sends: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -137,11 +138,11 @@
 }
 
 func TestOnce(t *testing.T) {
-	lose := func(then http.HandlerFunc) http.HandlerFunc {
+	abortFirst := func(then http.HandlerFunc) http.HandlerFunc {
 		var n atomic.Int32
 		return func(w http.ResponseWriter, r *http.Request) {
 			if n.Add(1) == 1 {
-				hangUp(w, r)
+				abort(w, r)
 			}
 			then(w, r)
 		}
@@ -151,17 +152,17 @@
 		code          result.Code
 		ran           result.Ran
 	}{
-		"served":                     {first: serve, code: result.Served, ran: result.Yes},
-		"answer lost, replayed":      {first: lose(refuse(result.Replayed)), code: result.Replayed, ran: result.Yes},
-		"answer lost, not kept":      {first: lose(refuse(result.AnswerNotKept)), code: result.AnswerNotKept, ran: result.Yes},
-		"entry lost, elsewhere":      {first: hangUp, second: refuse(result.TicketElsewhere), code: result.TicketElsewhere, ran: result.Unknown},
-		"unknown at the entry":       {first: refuse(result.AnswerCut), code: result.AnswerCut, ran: result.Unknown},
-		"shed, then served":          {first: lose(serve), code: result.Served, ran: result.Yes},
-		"lost, then refused unrun":   {first: lose(refuse(result.Quarantined)), code: result.Quarantined, ran: result.Unknown},
-		"entry leaves":               {first: refuse(result.EntryLeaving), code: result.Served, ran: result.Yes},
-		"ticket ended unused":        {first: refuse(result.TicketInvalid), code: result.Served, ran: result.Yes},
-		"lost, then entry leaves":    {first: lose(refuse(result.EntryLeaving)), code: result.EntryLeaving, ran: result.Unknown},
-		"refused unrun, never begun": {first: refuse(result.Quarantined), code: result.Quarantined, ran: result.No},
+		"served":                       {first: serve, code: result.Served, ran: result.Yes},
+		"answer lost, replayed":        {first: abortFirst(refuse(result.Replayed)), code: result.Replayed, ran: result.Yes},
+		"answer lost, not kept":        {first: abortFirst(refuse(result.AnswerNotKept)), code: result.AnswerNotKept, ran: result.Yes},
+		"entry lost, ticket elsewhere": {first: abort, second: refuse(result.TicketElsewhere), code: result.TicketElsewhere, ran: result.Unknown},
+		"unknown at the entry":         {first: refuse(result.AnswerCut), code: result.AnswerCut, ran: result.Unknown},
+		"answer lost, then served":     {first: abortFirst(serve), code: result.Served, ran: result.Yes},
+		"lost, then refused":           {first: abortFirst(refuse(result.Quarantined)), code: result.Quarantined, ran: result.Unknown},
+		"entry leaving":                {first: refuse(result.EntryLeaving), code: result.Served, ran: result.Yes},
+		"ticket expired unused":        {first: refuse(result.TicketInvalid), code: result.Served, ran: result.Yes},
+		"lost, then entry leaving":     {first: abortFirst(refuse(result.EntryLeaving)), code: result.EntryLeaving, ran: result.Unknown},
+		"refused, never run":           {first: refuse(result.Quarantined), code: result.Quarantined, ran: result.No},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -178,7 +179,7 @@
 	}
 }
 
-func TestLookupIsKeptAndNeverFalls(t *testing.T) {
+func TestLookupIsCachedAndVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	first, second := &fakeEntry{version: 5, valid: 60}, &fakeEntry{version: 4, valid: 0}
 	c := setUp(t, first, second)
@@ -187,26 +188,27 @@
 		is.NoErr(err)
 		is.Equal(a.Version, id.Version(5))
 	}
-	is.Equal(first.lookups.Load(), int32(1)) // kept while it is valid
+	is.Equal(first.lookups.Load(), int32(1)) // cached while it is valid
 
 	first.valid = 0
 	c = setUp(t, first, second)
 	_, err := c.Lookup(t.Context(), "registry")
 	is.NoErr(err)
-	first.version = 3 // replaced by one that is behind
+	first.version = 3 // another entry with an older configuration has the address
 	a, err := c.Lookup(t.Context(), "registry")
 	is.NoErr(err)
 	is.Equal(a.Version, id.Version(5))
 }
 
-// TestWriteIsNotSentAgainByTheTransport sends a write with an idempotency key
-// and no body, which net/http sends again on a connection that it had kept.
-func TestWriteIsNotSentAgainByTheTransport(t *testing.T) {
+// TestTransportDoesNotRetryWrite guards against the automatic retry of net/http:
+// on a reused connection it repeats a request that has an idempotency key and no
+// body.
+func TestTransportDoesNotRetryWrite(t *testing.T) {
 	is := is.New(t)
 	e := &fakeEntry{version: 1, valid: 60}
 	e.request = func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			hangUp(w, r)
+			abort(w, r)
 		}
 		serve(w, r)
 	}
@@ -221,7 +223,7 @@
 	is.Equal(e.requests.Load(), int32(2))
 }
 
-func TestNoEntryIsNo(t *testing.T) {
+func TestUnreachableEntryReportsRanNo(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -234,7 +236,7 @@
 	is.Equal(ran, result.No)
 }
 
-// Example looks findings up and issues a certificate at most once.
+// Example reads findings and issues a certificate at most once.
 func Example() {
 	entry := &fakeEntry{name: "entry-1", version: 1, valid: 60, request: serve}
 	server := httptest.NewServer(entry)
@@ -259,9 +261,9 @@
 	case err == nil:
 		fmt.Println("issued")
 	case errors.As(err, &failed) && failed.Ran == result.No:
-		fmt.Println("not issued, may be made anew")
+		fmt.Println("not issued, may be retried")
 	default:
-		fmt.Println("look the certificate up before it is made anew")
+		fmt.Println("outcome unknown, look up the certificate before a retry")
 	}
 	// Output:
 	// findings
--- a/pkg/caller/do.go
+++ b/pkg/caller/do.go
@@ -17,46 +17,49 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// attempt is one send.
+// attempt is the result of one send; either answer or err is set.
 type attempt struct {
 	answer *Answer
 	err    *Error
 }
 
-// Do sends a request and returns the answer of the backend server. The error
-// is an *Error.
+// Do sends a request and returns the answer of the backend server. Up to
+// Attempts sends in all, it retries at the next entry: a GET or HEAD whose
+// outcome is unknown, and any request that did not reach an entry or was refused
+// because the entry is leaving or not ready. The error is an *Error.
 func (c *Client) Do(ctx context.Context, req *Request) (*Answer, error) {
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	entries, err := c.entries(ctx, req.Service)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	stream := &oneStream{src: req.Stream}
-	last := &Error{Ran: result.No, Err: errors.New("no entries are known")}
-	doubt := false
+	stream := &singleUseBody{src: req.Stream}
+	last := &Error{Ran: result.No, Err: errors.New("no entry addresses are known")}
+	uncertain := false
 	attempts := c.attempts()
 	for i := range attempts {
 		got := c.send(ctx, entries[i%len(entries)].Address, req, stream, "", attempts-i)
 		if got.err == nil {
-			got.answer.Body = &closer{ReadCloser: got.answer.Body, cancel: cancel}
+			got.answer.Body = &cancelingBody{ReadCloser: got.answer.Body, cancel: cancel}
 			return got.answer, nil
 		}
 		last = got.err
-		doubt = doubt || last.Ran != result.No
-		if ctx.Err() != nil || !again(req, last) || stream.touched() {
+		uncertain = uncertain || last.Ran != result.No
+		if ctx.Err() != nil || !retryable(req, last) || stream.started() {
 			break
 		}
 	}
 	cancel()
-	if doubt {
+	if uncertain {
 		last.Ran = result.Unknown
 	}
 	return nil, last
 }
 
-// again tells whether another entry may be asked to do what one did not.
-func again(req *Request, e *Error) bool {
+// retryable reports whether the request may be sent to another entry after the
+// error.
+func retryable(req *Request, e *Error) bool {
 	read := req.Method == http.MethodGet || req.Method == http.MethodHead
 	if e.Ran == result.Unknown {
 		return read
@@ -77,16 +80,17 @@
 	if len(a.Entries) == 0 {
 		return nil, &Error{Code: result.NotReady, Ran: result.No}
 	}
-	return order(a), nil
+	return weightedOrder(a), nil
 }
 
-// send sends the request to one entry. With sends left for a read, it waits
-// an equal part of the time.
-func (c *Client) send(ctx context.Context, addr netip.AddrPort, req *Request, stream *oneStream, ticket string, sends int) attempt {
+// send sends the request to one entry. sends is the number of sends left; a read
+// waits for the response headers for at most the remaining time divided by it, so
+// that the later sends get an equal share.
+func (c *Client) send(ctx context.Context, addr netip.AddrPort, req *Request, stream *singleUseBody, ticket string, sends int) attempt {
 	read := req.Method == http.MethodGet || req.Method == http.MethodHead
-	waiting, stop := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	if deadline, ok := ctx.Deadline(); ok && read && sends > 1 {
-		t := time.AfterFunc(time.Until(deadline)/time.Duration(sends), stop)
+		t := time.AfterFunc(time.Until(deadline)/time.Duration(sends), cancel)
 		defer t.Stop()
 	}
 	var sent atomic.Bool
@@ -94,49 +98,49 @@
 		WroteHeaderField: func(string, []string) { sent.Store(true) },
 		WroteHeaders:     func() { sent.Store(true) },
 	}
-	out, err := c.build(httptrace.WithClientTrace(waiting, trace), addr, req, stream, ticket)
+	out, err := c.newRequest(httptrace.WithClientTrace(sendCtx, trace), addr, req, stream, ticket)
 	if err != nil {
-		stop()
+		cancel()
 		return attempt{err: &Error{Code: result.BadRequest, Ran: result.No, Err: err}}
 	}
-	transport := c.single
+	transport := c.unpooled
 	if read {
-		transport = c.kept
+		transport = c.pooled
 	}
 	resp, err := transport.RoundTrip(out)
 	if err != nil {
-		stop()
-		c.forget(req.Service)
+		cancel()
+		c.invalidate(req.Service)
 		ran := result.No
 		if sent.Load() {
 			ran = result.Unknown
 		}
 		return attempt{err: &Error{Ran: ran, Err: err}}
 	}
-	return c.taken(resp, req, stop)
+	return c.classify(resp, req, cancel)
 }
 
-// taken sorts an entry's answer into answers and errors.
-func (c *Client) taken(resp *http.Response, req *Request, stop context.CancelFunc) attempt {
-	code, ran, ok := said(resp)
+// classify converts an entry's response to an answer or an error.
+func (c *Client) classify(resp *http.Response, req *Request, cancel context.CancelFunc) attempt {
+	code, ran, ok := parseOutcome(resp)
 	if !ok {
 		resp.Body.Close()
-		stop()
-		return attempt{err: &Error{Ran: result.Unknown, Err: errors.New("answer has no result code")}}
+		cancel()
+		return attempt{err: &Error{Ran: result.Unknown, Err: errors.New("response lacks a valid Shallotpier-Code or Shallotpier-Ran header")}}
 	}
 	if ran != result.Yes || code == result.AnswerNotKept {
 		resp.Body.Close()
-		stop()
+		cancel()
 		if code == result.EntryLeaving || code == result.NotReady {
-			c.forget(req.Service)
+			c.invalidate(req.Service)
 		}
-		return attempt{err: refused(resp)}
+		return attempt{err: errorOf(resp)}
 	}
-	resp.Body = &closer{ReadCloser: resp.Body, cancel: stop}
+	resp.Body = &cancelingBody{ReadCloser: resp.Body, cancel: cancel}
 	return attempt{answer: &Answer{Response: resp, Code: code, Ran: ran, Entry: id.Instance(resp.Header.Get(result.HeaderEntry))}}
 }
 
-func (c *Client) build(ctx context.Context, addr netip.AddrPort, req *Request, stream *oneStream, ticket string) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, addr netip.AddrPort, req *Request, stream *singleUseBody, ticket string) (*http.Request, error) {
 	var body io.Reader
 	if req.Body != nil {
 		body = bytes.NewReader(req.Body)
@@ -155,7 +159,7 @@
 			out.ContentLength = -1
 		}
 	}
-	out.GetBody = nil // net/http must not send it again
+	out.GetBody = nil // keeps net/http from sending the request again
 	if v := c.version(req.Service); v > 0 {
 		out.Header.Set(result.HeaderVersion, strconv.FormatUint(uint64(v), 10))
 	}
@@ -171,7 +175,7 @@
 	return out, nil
 }
 
-func (c *Client) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+func (c *Client) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
@@ -189,8 +193,9 @@
 	return c.Attempts
 }
 
-// said reads what the entry says about its answer.
-func said(resp *http.Response) (result.Code, result.Ran, bool) {
+// parseOutcome reads the result headers of an entry's response. It returns false
+// if one is missing or malformed.
+func parseOutcome(resp *http.Response) (result.Code, result.Ran, bool) {
 	n, err := strconv.Atoi(resp.Header.Get(result.HeaderCode))
 	var ran result.Ran
 	if err != nil || ran.UnmarshalText([]byte(resp.Header.Get(result.HeaderRan))) != nil {
@@ -199,8 +204,8 @@
 	return result.Code(n), ran, true
 }
 
-func refused(resp *http.Response) *Error {
-	code, ran, _ := said(resp)
+func errorOf(resp *http.Response) *Error {
+	code, ran, _ := parseOutcome(resp)
 	e := &Error{Code: code, Ran: ran}
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s > 0 {
 		e.RetryAfter = time.Duration(s) * time.Second
@@ -209,29 +214,30 @@
 }
 
 type (
-	// oneStream is a body that is sent at most once.
-	oneStream struct {
+	// singleUseBody records whether its source was read from; a body that was
+	// read can't be sent again.
+	singleUseBody struct {
 		src  io.Reader
 		read atomic.Bool
 	}
 
-	// closer ends a request's context with its answer's body.
-	closer struct {
+	// cancelingBody cancels the request's context when the body is closed.
+	cancelingBody struct {
 		io.ReadCloser
 		cancel context.CancelFunc
 	}
 )
 
-// Read reads the stream.
-func (s *oneStream) Read(p []byte) (int, error) {
+// Read reads from the source.
+func (s *singleUseBody) Read(p []byte) (int, error) {
 	s.read.Store(true)
 	return s.src.Read(p)
 }
 
-func (s *oneStream) touched() bool { return s.read.Load() }
+func (s *singleUseBody) started() bool { return s.read.Load() }
 
-// Close closes the body and ends the context.
-func (c *closer) Close() error {
+// Close closes the body and cancels the context.
+func (c *cancelingBody) Close() error {
 	err := c.ReadCloser.Close()
 	c.cancel()
 	return err
--- a/pkg/caller/doc.go
+++ b/pkg/caller/doc.go
@@ -1,15 +1,16 @@
-// Package caller is the client for programs that call services through
+// Package caller is the client library for programs that call services through
 // shallotpier's entries.
 //
-// A [Client] asks any entry which ones to use, keeps the answer for as long as
-// it is valid, and sends requests to them. When an entry fails it goes on to
-// the next, but sends a request again only where that is safe: reads, requests
-// that provably did not run, and once-only requests with their ticket. The
-// configuration version that it sees never falls.
+// A [Client] looks up the entries of a service at any entry, caches the answer
+// while it is valid, and sends requests to these entries. When an entry fails,
+// the client fails over to the next one, but retries a request only where that
+// is safe: reads (GET and HEAD), requests that provably did not run, and
+// at-most-once requests with their ticket. The configuration version of the
+// lookup answers that it uses never decreases.
 //
-// Every [Answer] and every [Error] tells whether the request ran: yes, no, or
-// unknown. After "unknown" the outcome has to be looked up in the service
-// itself before the request is made anew.
+// Every [Answer] and every [Error] reports whether the request ran: yes, no, or
+// unknown. After "unknown", the outcome has to be looked up in the service
+// itself before the request is issued again.
 //
 // # Usage
 //
@@ -20,7 +21,7 @@
 //	}
 //	defer ans.Body.Close()
 //
-// A once-only request is sent with Once, which gets a ticket first:
+// An at-most-once request is sent with [Client.Once], which gets a ticket first:
 //
 //	ans, err := c.Once(ctx, &caller.Request{Service: "registry", Method: "POST", Path: "/certificates/8", Body: body})
 package caller
--- a/pkg/caller/once.go
+++ b/pkg/caller/once.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
-	maxTickets = 3
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	maxTickets     = 3
 )
 
-// Once sends a once-only request. It gets a ticket from an entry and sends the
-// request with it, again with the same ticket as long as the outcome is open,
-// to that entry and then through others. However often it is sent, the request
-// is executed at most once.
+// Once sends an at-most-once request. It gets a ticket, an idempotency key
+// issued by an entry, and sends the request with it. While the outcome is
+// unknown it retries with the same ticket, first at the issuing entry and then
+// through the others. The request is executed at most once, however often it is
+// sent. It is sent from Body; a request with a Stream is rejected.
 //
-// The error is an *Error. Its Ran tells the outcome: No, and the request may
-// be made anew; Yes, it ran and only its answer is lost; Unknown, and the
-// outcome has to be looked up in the service first.
+// The error is an *Error. If its Ran is No, the request did not run and may be
+// issued again; Yes means that it ran and only its answer is lost; Unknown means
+// that the outcome has to be looked up in the service first.
 func (c *Client) Once(ctx context.Context, req *Request) (*Answer, error) {
 	if req.Stream != nil {
-		return nil, &Error{Code: result.BadRequest, Ran: result.No, Err: errors.New("a once-only request needs a Body, not a Stream")}
+		return nil, &Error{Code: result.BadRequest, Ran: result.No, Err: errors.New("an at-most-once request needs a Body, not a Stream")}
 	}
-	ctx, cancel := c.bound(ctx)
+	ctx, cancel := c.withTimeout(ctx)
 	entries, err := c.entries(ctx, req.Service)
 	defer cancel()
 	if err != nil {
@@ -40,29 +41,30 @@
 	}
 	var failed *Error
 	for range maxTickets {
-		minting, ticket, err := c.ticket(ctx, entries, req.Service)
+		issuer, ticket, err := c.issueTicket(ctx, entries, req.Service)
 		if err != nil {
 			return nil, err
 		}
 		var ans *Answer
-		if ans, failed = c.execute(ctx, req, ticket, route(entries, minting)); failed == nil {
+		if ans, failed = c.execute(ctx, req, ticket, ticketRoute(entries, issuer)); failed == nil {
 			return ans, nil
 		}
-		if failed.Ran != result.No || !renew(failed.Code) || ctx.Err() != nil {
+		if failed.Ran != result.No || !needsNewTicket(failed.Code) || ctx.Err() != nil {
 			break
 		}
-		entries = without(entries, minting)
+		entries = moveToEnd(entries, issuer)
 	}
 	return nil, failed
 }
 
-// renew tells whether another ticket may do better after a proved "no".
-func renew(code result.Code) bool {
+// needsNewTicket reports whether a request that provably did not run should be
+// tried with a new ticket of another entry.
+func needsNewTicket(code result.Code) bool {
 	return code == 0 || code == result.EntryLeaving || code == result.NotReady || code == result.TicketInvalid
 }
 
-// without returns the entries with one moved to the end.
-func without(entries []lookup.Entry, addr netip.AddrPort) []lookup.Entry {
+// moveToEnd returns the entries with the one at addr moved to the end.
+func moveToEnd(entries []lookup.Entry, addr netip.AddrPort) []lookup.Entry {
 	var first, last []lookup.Entry
 	for i := range entries {
 		if entries[i].Address == addr {
@@ -74,38 +76,39 @@
 	return append(first, last...)
 }
 
-// execute sends the request until its outcome is known, or ctx or the sends
-// have run out.
+// execute sends the request, with exponential backoff, until its outcome is
+// known, ctx ends or the maximum number of sends is reached.
 func (c *Client) execute(ctx context.Context, req *Request, ticket string, to []netip.AddrPort) (*Answer, *Error) {
 	var last *Error
-	doubt, pause := false, firstPause
+	uncertain, backoff := false, initialBackoff
 	for i := range max(c.attempts(), 2) {
-		got := c.send(ctx, to[i%len(to)], req, &oneStream{}, ticket, 1)
+		got := c.send(ctx, to[i%len(to)], req, &singleUseBody{}, ticket, 1)
 		if got.err == nil {
-			ans, err := whole(got.answer)
+			ans, err := buffered(got.answer)
 			if err == nil {
 				return ans, nil
 			}
 			got.err = &Error{Code: got.answer.Code, Ran: got.answer.Ran, Err: err}
 		}
 		last = got.err
-		doubt = doubt || last.Ran == result.Unknown
-		if last.Ran == result.No && !doubt && renew(last.Code) {
+		uncertain = uncertain || last.Ran == result.Unknown
+		if last.Ran == result.No && !uncertain && needsNewTicket(last.Code) {
 			break
 		}
-		if last.Ran == result.Yes && last.Err == nil || !open(last) || !wait(ctx, max(last.RetryAfter, pause)) {
+		if last.Ran == result.Yes && last.Err == nil || !retryableWithTicket(last) || !sleep(ctx, max(last.RetryAfter, backoff)) {
 			break
 		}
-		pause = min(2*pause, maxPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
-	if doubt && last.Ran == result.No {
-		last.Ran = result.Unknown // an earlier send may still be on its way
+	if uncertain && last.Ran == result.No {
+		last.Ran = result.Unknown // an earlier send may have run, or may still run
 	}
 	return nil, last
 }
 
-// open tells whether sending the request again with its ticket can tell more.
-func open(e *Error) bool {
+// retryableWithTicket reports whether a retry with the same ticket can still
+// determine the outcome or get the answer.
+func retryableWithTicket(e *Error) bool {
 	switch e.Code {
 	case 0, result.Served, result.Replayed, result.NoCapacity, result.ShiftCapped,
 		result.LinkFull, result.NoServer, result.ConnectFailed, result.ShedByServer, result.TicketElsewhere:
@@ -115,13 +118,14 @@
 	}
 }
 
-// ticket gets a ticket from the first entry that gives one.
-func (c *Client) ticket(ctx context.Context, entries []lookup.Entry, service id.Service) (netip.AddrPort, string, error) {
+// issueTicket gets a ticket from the first entry that issues one, and returns
+// that entry's address with it.
+func (c *Client) issueTicket(ctx context.Context, entries []lookup.Entry, service id.Service) (netip.AddrPort, string, error) {
 	var err error
 	for i := range entries {
 		var t lookup.Ticket
 		url := "http://" + entries[i].Address.String() + "/v1/ticket/" + string(service)
-		if err = c.call(ctx, http.MethodPost, url, &t); err == nil && t.Ticket != "" {
+		if err = c.callEntry(ctx, http.MethodPost, url, &t); err == nil && t.Ticket != "" {
 			return entries[i].Address, t.Ticket, nil
 		}
 	}
@@ -132,20 +136,21 @@
 	return netip.AddrPort{}, "", &Error{Ran: result.No, Err: err}
 }
 
-// route lists where to send: twice to the entry that minted the ticket, then
-// through the others.
-func route(entries []lookup.Entry, minting netip.AddrPort) []netip.AddrPort {
-	to := []netip.AddrPort{minting, minting}
+// ticketRoute lists the addresses to send to: the entry that issued the ticket
+// twice, then the others, which forward the request to it.
+func ticketRoute(entries []lookup.Entry, issuer netip.AddrPort) []netip.AddrPort {
+	to := []netip.AddrPort{issuer, issuer}
 	for i := range entries {
-		if a := entries[i].Address; a != minting {
+		if a := entries[i].Address; a != issuer {
 			to = append(to, a)
 		}
 	}
 	return to
 }
 
-// whole reads the answer's body, so that a lost answer can be asked for again.
-func whole(a *Answer) (*Answer, error) {
+// buffered reads the answer's body into memory, so that a truncated answer is
+// detected while the request can still be retried.
+func buffered(a *Answer) (*Answer, error) {
 	defer a.Body.Close()
 	body, err := io.ReadAll(a.Body)
 	if err != nil {
@@ -155,8 +160,8 @@
 	return a, nil
 }
 
-// wait waits for d and tells whether ctx lasted as long.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d; it returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
