--- a/pkg/deployment/deployment.go
+++ b/pkg/deployment/deployment.go
@@ -12,7 +12,7 @@
 )
 
 type (
-	// Deployment is the world of one user's entries.
+	// Deployment is the environment of one organisation's entries.
 	Deployment struct {
 		// Name names the deployment.
 		Name string `toml:"name" json:"name"`
@@ -24,7 +24,8 @@
 		Delays Delays `toml:"delays" json:"delays"`
 		// Entries lists the entry instances.
 		Entries []Entry `toml:"entries" json:"entries"`
-		// StoreRegion is the region that the platform's store stands in.
+		// StoreRegion is the region in which the platform's store is located;
+		// it may be empty.
 		StoreRegion id.Region `toml:"storeRegion" json:"storeRegion"`
 	}
 
@@ -36,23 +37,24 @@
 		Zones []id.Zone `toml:"zones" json:"zones"`
 	}
 
-	// Link joins two regions; each direction has the whole capacity.
+	// Link connects two regions; each direction has the full capacity.
 	Link struct {
 		// Between holds the two regions.
 		Between [2]id.Region `toml:"between" json:"between"`
-		// Capacity is what each direction carries.
+		// Capacity is the capacity of each direction, in bits per second.
 		Capacity unit.BitRate `toml:"capacity" json:"capacity"`
-		// Share is the part of it, 0 to 1, that entries may use.
+		// Share is the fraction of Capacity that entries may use, above 0 and
+		// at most 1.
 		Share float64 `toml:"share" json:"share"`
 	}
 
 	// Delays holds one-way delays.
 	Delays struct {
-		// Zones is between two availability zones of a region.
+		// Zones is the delay between two availability zones of a region.
 		Zones unit.Duration `toml:"zones" json:"zones"`
-		// Regions is between two regions.
+		// Regions is the delay between two regions.
 		Regions unit.Duration `toml:"regions" json:"regions"`
-		// Clients is between clients and an entry.
+		// Clients is the delay between clients and an entry.
 		Clients unit.Duration `toml:"clients" json:"clients"`
 	}
 
@@ -60,11 +62,11 @@
 	Entry struct {
 		// Name is the instance's name in the platform's list.
 		Name id.Instance `toml:"name" json:"name"`
-		// Zone is the availability zone it stands in.
+		// Zone is the availability zone in which it runs.
 		Zone id.Zone `toml:"zone" json:"zone"`
-		// Caller is the address of its callers' listener.
+		// Caller is the address of its listener for callers.
 		Caller netip.AddrPort `toml:"caller" json:"caller"`
-		// Peer is the address of its peers' listener.
+		// Peer is the address of its listener for other entries.
 		Peer netip.AddrPort `toml:"peer" json:"peer"`
 	}
 )
@@ -82,7 +84,8 @@
 	return d, nil
 }
 
-// Region returns the region that a zone belongs to.
+// Region returns the region that a zone belongs to, and false if the zone is in
+// none.
 func (d *Deployment) Region(zone id.Zone) (id.Region, bool) {
 	for i := range d.Regions {
 		for _, z := range d.Regions[i].Zones {
@@ -94,7 +97,8 @@
 	return "", false
 }
 
-// Link returns the link between two regions, nil if they are one or have none.
+// Link returns the link between two regions; nil if they are the same region or
+// have no link.
 func (d *Deployment) Link(a, b id.Region) *Link {
 	for i := range d.Links {
 		l := &d.Links[i]
@@ -119,11 +123,11 @@
 	return d.Delays.Regions.Std()
 }
 
-// Check tells the first thing that is wrong with the deployment, nil if
-// nothing is.
+// Check returns the first error in the deployment, without file name and line;
+// nil if there is none.
 func (d *Deployment) Check() *service.FileError {
 	if d.Name == "" {
-		return problem(result.MissingValue, "name", "a value is required")
+		return fileError(result.MissingValue, "name", "a value is required")
 	}
 	for _, check := range []func() *service.FileError{d.checkRegions, d.checkLinks, d.checkEntries} {
 		if p := check(); p != nil {
@@ -135,26 +139,26 @@
 
 func (d *Deployment) checkRegions() *service.FileError {
 	if len(d.Regions) == 0 {
-		return problem(result.MissingValue, "regions", "a value is required")
+		return fileError(result.MissingValue, "regions", "a value is required")
 	}
 	regions, zones := map[id.Region]bool{}, map[id.Zone]bool{}
 	for i, r := range d.Regions {
 		if r.Name == "" || len(r.Zones) == 0 {
-			return problem(result.MissingValue, "regions", "each needs a name and zones").At(i)
+			return fileError(result.MissingValue, "regions", "each region must have a name and at least one zone").At(i)
 		}
 		if regions[r.Name] {
-			return problem(result.ImpossibleValue, "regions.name", fmt.Sprintf("%q is named twice", r.Name)).At(i)
+			return fileError(result.ImpossibleValue, "regions.name", fmt.Sprintf("duplicate name %q", r.Name)).At(i)
 		}
 		regions[r.Name] = true
 		for _, z := range r.Zones {
 			if zones[z] {
-				return problem(result.ImpossibleValue, "regions.zones", fmt.Sprintf("%q is named twice", z)).At(i)
+				return fileError(result.ImpossibleValue, "regions.zones", fmt.Sprintf("duplicate zone %q", z)).At(i)
 			}
 			zones[z] = true
 		}
 	}
 	if d.StoreRegion != "" && !regions[d.StoreRegion] {
-		return problem(result.ImpossibleValue, "storeRegion", fmt.Sprintf("%q is no region", d.StoreRegion))
+		return fileError(result.ImpossibleValue, "storeRegion", fmt.Sprintf("%q is not one of the regions", d.StoreRegion))
 	}
 	return nil
 }
@@ -167,11 +171,11 @@
 	for i, l := range d.Links {
 		switch {
 		case !known[l.Between[0]] || !known[l.Between[1]] || l.Between[0] == l.Between[1]:
-			return problem(result.ImpossibleValue, "links.between", "must name two known regions").At(i)
+			return fileError(result.ImpossibleValue, "links.between", fmt.Sprintf("%q and %q must be two different regions of this file", l.Between[0], l.Between[1])).At(i)
 		case l.Capacity <= 0:
-			return problem(result.ImpossibleValue, "links.capacity", "must be above 0").At(i)
+			return fileError(result.ImpossibleValue, "links.capacity", fmt.Sprintf("is %d bit/s, must be greater than 0", l.Capacity)).At(i)
 		case !(l.Share > 0 && l.Share <= 1):
-			return problem(result.ImpossibleValue, "links.share", "must be above 0 and at most 1").At(i)
+			return fileError(result.ImpossibleValue, "links.share", fmt.Sprintf("is %v, must be greater than 0 and at most 1", l.Share)).At(i)
 		}
 	}
 	return nil
@@ -179,21 +183,21 @@
 
 func (d *Deployment) checkEntries() *service.FileError {
 	if len(d.Entries) == 0 {
-		return problem(result.MissingValue, "entries", "a value is required")
+		return fileError(result.MissingValue, "entries", "a value is required")
 	}
 	seen := map[id.Instance]bool{}
 	for i, e := range d.Entries {
 		if _, ok := d.Region(e.Zone); !ok {
-			return problem(result.ImpossibleValue, "entries.zone", fmt.Sprintf("%q is in no region", e.Zone)).At(i)
+			return fileError(result.ImpossibleValue, "entries.zone", fmt.Sprintf("zone %q is not in any region of this file", e.Zone)).At(i)
 		}
 		if e.Name == "" || seen[e.Name] {
-			return problem(result.ImpossibleValue, "entries.name", fmt.Sprintf("%q is absent or named twice", e.Name)).At(i)
+			return fileError(result.ImpossibleValue, "entries.name", fmt.Sprintf("%q is empty or a duplicate name", e.Name)).At(i)
 		}
 		seen[e.Name] = true
 	}
 	return nil
 }
 
-func problem(code result.Code, key, text string) *service.FileError {
+func fileError(code result.Code, key, text string) *service.FileError {
 	return &service.FileError{Key: key, Code: code, Text: text}
 }
--- a/pkg/deployment/deployment_test.go
+++ b/pkg/deployment/deployment_test.go
@@ -15,7 +15,7 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-func TestExamplesHaveTheirSize(t *testing.T) {
+func TestExamplesHaveExpectedSizes(t *testing.T) {
 	type servers struct{ count, slots int }
 	tests := map[string]struct {
 		link     unit.BitRate
@@ -78,7 +78,7 @@
 	is.True(d.Link("east-kakheti", "east-kakheti") == nil)
 }
 
-func TestParseTellsWhatIsWrong(t *testing.T) {
+func TestParseReportsLineKeyAndCode(t *testing.T) {
 	data, err := os.ReadFile("../../examples/beridze/deployment.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +89,11 @@
 		key      string
 		code     result.Code
 	}{
-		"unknown key":    {old: "storeRegion", new: "storeregion2", line: 2, key: "storeregion2", code: result.UnknownKey},
-		"unknown region": {old: `["east-kakheti", "tbilisi-core"]`, new: `["east-kakheti", "kutaisi"]`, line: 27, key: "links.between", code: result.ImpossibleValue},
-		"zone twice":     {old: `"west-imereti-2"]`, new: `"west-imereti-1"]`, line: 15, key: "regions.zones", code: result.ImpossibleValue},
-		"entry twice":    {old: `"entry-2"`, new: `"entry-1"`, line: 43, key: "entries.name", code: result.ImpossibleValue},
-		"store nowhere":  {old: `storeRegion = "east-kakheti"`, new: `storeRegion = "kutaisi"`, line: 2, key: "storeRegion", code: result.ImpossibleValue},
+		"unknown key":          {old: "storeRegion", new: "storeregion2", line: 2, key: "storeregion2", code: result.UnknownKey},
+		"unknown link region":  {old: `["east-kakheti", "tbilisi-core"]`, new: `["east-kakheti", "kutaisi"]`, line: 27, key: "links.between", code: result.ImpossibleValue},
+		"duplicate zone":       {old: `"west-imereti-2"]`, new: `"west-imereti-1"]`, line: 15, key: "regions.zones", code: result.ImpossibleValue},
+		"duplicate entry":      {old: `"entry-2"`, new: `"entry-1"`, line: 43, key: "entries.name", code: result.ImpossibleValue},
+		"unknown store region": {old: `storeRegion = "east-kakheti"`, new: `storeRegion = "kutaisi"`, line: 2, key: "storeRegion", code: result.ImpossibleValue},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/deployment/doc.go
+++ b/pkg/deployment/doc.go
@@ -1,9 +1,10 @@
-// Package deployment describes the world that a system of entries stands in:
-// its regions and availability zones, the links between regions, the one-way
-// delays, and the entry instances.
+// Package deployment describes the environment in which entries run: the regions
+// and availability zones, the links between regions, the one-way delays, and the
+// entry instances.
 //
-// A [Deployment] is decoded from TOML and checks itself; examples/ holds the
-// two of today at full size.
+// A [Deployment] is decoded from TOML and validated by [Parse], which returns a
+// *service.FileError with file, line, key and code. examples/ holds two
+// deployments at full size.
 //
 // # Usage
 //
