--- a/pkg/id/doc.go
+++ b/pkg/id/doc.go
@@ -1,12 +1,13 @@
-// Package id names the things that shallotpier steers: services, request
-// classes, backend servers, entry instances, availability zones and regions,
-// and numbers the states that only move forward: configuration versions,
+// Package id defines the identifiers used by shallotpier: names of services,
+// request classes, backend servers, entry instances, availability zones and
+// regions, and the monotonically increasing numbers of configuration versions,
 // lease terms and process incarnations.
 //
-// Every name is a distinct type, so that a zone can't be passed where a
-// region is meant. Names check themselves when they are decoded: they hold
-// 1 to 63 lowercase letters, digits and inner hyphens, as a DNS label does,
-// so that they are safe in a URL path, a header, a log line and a store key.
+// Every identifier is a distinct type, so that a zone can't be passed in place
+// of a region. Names are validated when they are decoded: like a DNS label, a
+// name consists of 1 to 63 lowercase letters, digits and hyphens and neither
+// starts nor ends with a hyphen. It is therefore safe in a URL path, a header, a
+// log line and a store key.
 //
 // # Usage
 //
--- a/pkg/id/id.go
+++ b/pkg/id/id.go
@@ -13,37 +13,38 @@
 	Class string
 	// Server names a backend server; it is unique within its service.
 	Server string
-	// Instance names an entry instance as the platform's list does.
+	// Instance names an entry instance; it is the name in the platform's list.
 	Instance string
 	// Zone names an availability zone.
 	Zone string
 	// Region names a region.
 	Region string
-	// Version numbers an accepted configuration. It only rises; 0 means none.
+	// Version numbers an accepted configuration. It only increases; 0 means none.
 	Version uint64
-	// Term numbers the holders of a lease. It only rises; 0 means none.
+	// Term is the fencing token of a lease: each new holder gets a higher one; 0
+	// means none.
 	Term uint64
-	// Incarnation tells a started process from its predecessors on the same
+	// Incarnation distinguishes a process from earlier processes of the same
 	// instance. A later start has a higher number; 0 means unknown.
 	Incarnation uint64
 )
 
-// UnmarshalText decodes and checks a service name.
+// UnmarshalText decodes and validates a service name.
 func (s *Service) UnmarshalText(text []byte) error { return decode(s, text) }
 
-// UnmarshalText decodes and checks a class name.
+// UnmarshalText decodes and validates a class name.
 func (c *Class) UnmarshalText(text []byte) error { return decode(c, text) }
 
-// UnmarshalText decodes and checks a backend server name.
+// UnmarshalText decodes and validates a backend server name.
 func (s *Server) UnmarshalText(text []byte) error { return decode(s, text) }
 
-// UnmarshalText decodes and checks an instance name.
+// UnmarshalText decodes and validates an instance name.
 func (i *Instance) UnmarshalText(text []byte) error { return decode(i, text) }
 
-// UnmarshalText decodes and checks an availability zone name.
+// UnmarshalText decodes and validates an availability zone name.
 func (z *Zone) UnmarshalText(text []byte) error { return decode(z, text) }
 
-// UnmarshalText decodes and checks a region name.
+// UnmarshalText decodes and validates a region name.
 func (r *Region) UnmarshalText(text []byte) error { return decode(r, text) }
 
 func decode[T ~string](dst *T, text []byte) error {
@@ -56,12 +57,12 @@
 
 func check(text []byte) error {
 	if len(text) == 0 || len(text) > maxNameLength {
-		return eris.Errorf("name %q has %d characters, want 1 to %d", text, len(text), maxNameLength)
+		return eris.Errorf("name %q is %d bytes long, want 1 to %d", text, len(text), maxNameLength)
 	}
 	for i, c := range text {
 		inner := i > 0 && i < len(text)-1
 		if !validByte(c, inner) {
-			return eris.Errorf("name %q: character %q at %d is not allowed (lowercase letters, digits and inner hyphens are)", text, c, i)
+			return eris.Errorf("name %q: byte %q at offset %d is not allowed, want lowercase letters, digits, and hyphens except first and last", text, c, i)
 		}
 	}
 	return nil
--- a/pkg/id/id_test.go
+++ b/pkg/id/id_test.go
@@ -9,21 +9,21 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-func TestZoneUnmarshalText(t *testing.T) {
+func TestZoneUnmarshalTextValidatesName(t *testing.T) {
 	tests := map[string]struct {
 		give string
 		ok   bool
 	}{
-		"plain":          {give: "tbilisi-core-1", ok: true},
-		"one character":  {give: "a", ok: true},
-		"longest":        {give: strings.Repeat("a", 63), ok: true},
-		"empty":          {give: ""},
-		"too long":       {give: strings.Repeat("a", 64)},
-		"upper case":     {give: "Fyn"},
-		"leading hyphen": {give: "-a"},
-		"last hyphen":    {give: "a-"},
-		"slash":          {give: "a/b"},
-		"line feed":      {give: "a\nb"},
+		"valid name":      {give: "tbilisi-core-1", ok: true},
+		"one character":   {give: "a", ok: true},
+		"longest":         {give: strings.Repeat("a", 63), ok: true},
+		"empty":           {give: ""},
+		"too long":        {give: strings.Repeat("a", 64)},
+		"upper case":      {give: "Fyn"},
+		"leading hyphen":  {give: "-a"},
+		"trailing hyphen": {give: "a-"},
+		"slash":           {give: "a/b"},
+		"line feed":       {give: "a\nb"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
