--- a/pkg/lookup/doc.go
+++ b/pkg/lookup/doc.go
@@ -1,5 +1,6 @@
-// Package lookup holds what an entry answers to a look-up: which entries to
-// use for a service, and for how long the answer may be used.
+// Package lookup defines the JSON answers of an entry's lookup and ticket APIs:
+// the entries to use for a service, and tickets for at-most-once requests, each
+// with the time for which it is valid.
 //
 // # Usage
 //
@@ -10,5 +11,5 @@
 //	if err := a.Check(); err != nil {
 //		return err
 //	}
-//	first := a.Entries[0]
+//	first := a.Entries[0] // if there is one
 package lookup
