--- a/pkg/result/codes.go
+++ b/pkg/result/codes.go
@@ -7,107 +7,117 @@
 
 // Codes of answered and refused requests.
 const (
-	// Served means that the backend server's whole answer was passed on.
+	// Served means that the backend server's complete answer was forwarded.
 	Served Code = 1000
-	// Replayed means that the kept answer of a once-only request was sent
-	// again.
+	// Replayed means that the stored answer of an at-most-once request was
+	// returned to a retry.
 	Replayed Code = 1001
-	// AnswerNotKept means that a once-only request ran and that its answer is
-	// no longer kept.
+	// AnswerNotKept means that an at-most-once request ran and that its answer
+	// is no longer stored.
 	AnswerNotKept Code = 1002
 
-	// NoService means that no service of that name is configured.
+	// NoService means that no service with that name is configured.
 	NoService Code = 2000
 	// NoClass means that no request class matches method and path.
 	NoClass Code = 2001
-	// BadRequest means that the request itself is malformed.
+	// BadRequest means that the request is malformed.
 	BadRequest Code = 2002
-	// BodyTooLarge means that the announced body is over the class's limit.
+	// BodyTooLarge means that the request's Content-Length is above the class's
+	// body limit.
 	BodyTooLarge Code = 2003
-	// NoCapacity means that no slot came free within the deadline.
+	// NoCapacity means that no slot became free within the time a request may
+	// wait.
 	NoCapacity Code = 2010
-	// ShiftCapped means that the cap on a shift of traffic toward the region
-	// is used up.
+	// ShiftCapped means that the limit on the rise of traffic toward the region
+	// is reached.
 	ShiftCapped Code = 2011
-	// LinkFull means that the link's budget has no room for the body.
+	// LinkFull means that the body exceeds the remaining budget of the link
+	// between the regions.
 	LinkFull Code = 2012
-	// NoServer means that no backend server may be used.
+	// NoServer means that no backend server is eligible.
 	NoServer Code = 2013
-	// ConnectFailed means that no connection to a backend server came about.
+	// ConnectFailed means that no connection to a backend server could be opened.
 	ConnectFailed Code = 2014
-	// ShedByServer means that the backend server refused the request unrun.
+	// ShedByServer means that the backend server shed the request without running
+	// it.
 	ShedByServer Code = 2015
-	// DeadlinePassed means that the deadline passed before anything was sent.
+	// DeadlinePassed means that the deadline passed before any byte was sent.
 	DeadlinePassed Code = 2016
-	// Quarantined means that the request resembles ones that crashed backend
+	// Quarantined means that the request matches requests that crashed backend
 	// servers.
 	Quarantined Code = 2017
-	// EntryLeaving means that the entry takes no new requests.
+	// EntryLeaving means that the entry is shutting down and accepts no new
+	// requests.
 	EntryLeaving Code = 2018
-	// NotReady means that the entry has no configuration it may serve.
+	// NotReady means that the entry has no active configuration.
 	NotReady Code = 2019
-	// TicketMissing means that a once-only request came without a ticket.
+	// TicketMissing means that an at-most-once request has no ticket.
 	TicketMissing Code = 2020
-	// TicketInvalid means that the ticket is malformed, forged or expired.
+	// TicketInvalid means that the ticket is malformed, forged, or expired
+	// before it was used.
 	TicketInvalid Code = 2021
-	// TicketMismatch means that the ticket was used for another request.
+	// TicketMismatch means that the ticket was used for a request with another
+	// method, path or body.
 	TicketMismatch Code = 2022
-	// CallerLeft means that the caller went away before anything was sent.
+	// CallerLeft means that the caller disconnected before any byte was sent.
 	CallerLeft Code = 2023
 
-	// AnswerCut means that the connection ended before the whole answer.
+	// AnswerCut means that the connection closed before the answer was complete.
 	AnswerCut Code = 3000
-	// AnswerLate means that the deadline passed after the request was sent.
+	// AnswerLate means that the deadline passed after bytes were sent.
 	AnswerLate Code = 3001
-	// CallerGone means that the caller went away after the request was sent.
+	// CallerGone means that the caller disconnected after bytes were sent.
 	CallerGone Code = 3002
-	// ConnectionSilent means that the connection made no progress.
+	// ConnectionSilent means that the connection to the backend server made no
+	// progress for the stall timeout.
 	ConnectionSilent Code = 3003
-	// TicketElsewhere means that the ticket belongs to an entry that can't be
-	// asked.
+	// TicketElsewhere means that the ticket was issued by an entry that is
+	// unreachable.
 	TicketElsewhere Code = 3004
-	// BodyOverLimit means that an unannounced body turned out to be over the
-	// class's limit while it was passed on.
+	// BodyOverLimit means that a body without Content-Length exceeded the class's
+	// body limit while it was forwarded.
 	BodyOverLimit Code = 3005
-	// TicketForgotten means that the ticket ended so long ago that nothing is
-	// known of it any more.
+	// TicketForgotten means that the ticket expired so long ago that its record
+	// was deleted.
 	TicketForgotten Code = 3006
 )
 
 // Codes of settings and service files.
 const (
-	// UnknownKey means that a file holds a key that is not known.
+	// UnknownKey means that a file contains an unknown key.
 	UnknownKey Code = 4000
-	// WrongType means that a value has the wrong type or form.
+	// WrongType means that a value has the wrong type or format.
 	WrongType Code = 4001
-	// MissingValue means that a required value is absent.
+	// MissingValue means that a required value is missing.
 	MissingValue Code = 4002
-	// ImpossibleValue means that a value is out of its bounds or contradicts
-	// another.
+	// ImpossibleValue means that a value is out of range or contradicts another
+	// one.
 	ImpossibleValue Code = 4003
 	// UnreadableFile means that a file can't be read or is not TOML.
 	UnreadableFile Code = 4004
 )
 
-// Codes of the platform's store and of publication.
+// Codes of the platform's store and of publications.
 const (
-	// Accepted means that a publication is in force as its version.
+	// Accepted means that a publication is the active configuration, with its
+	// version.
 	Accepted Code = 5000
-	// Overtaken means that another publication has the version.
+	// Overtaken means that another publication got the version.
 	Overtaken Code = 5001
 	// NotYetKnown means that a publication's write may still take effect.
 	NotYetKnown Code = 5002
-	// RefusedByCheck means that a submission would break a promise.
+	// RefusedByCheck means that a submission would violate a guarantee.
 	RefusedByCheck Code = 5003
-	// StoreUnavailable means that the store could not be asked and that
-	// nothing was written.
+	// StoreUnavailable means that the store is unavailable and that nothing was
+	// written.
 	StoreUnavailable Code = 5004
-	// OlderState means that the store or a peer showed an older version than
-	// the one in force, which was ignored.
+	// OlderState means that the store or a peer returned an older version than
+	// the active one, which was ignored.
 	OlderState Code = 5010
-	// LeaseLost means that a lease has a newer term than the holder's.
+	// LeaseLost means that the lease has a higher term than the holder's.
 	LeaseLost Code = 5020
-	// LeaseUnsure means that a holder can't confirm its term and doesn't act.
+	// LeaseUnsure means that the holder can't confirm its term and therefore does
+	// not act.
 	LeaseUnsure Code = 5021
 )
 
--- a/pkg/result/doc.go
+++ b/pkg/result/doc.go
@@ -1,13 +1,13 @@
-// Package result numbers every outcome that shallotpier reports, to callers,
-// to operators and in its logs, and says of each whether the caller's request
-// was run.
+// Package result defines the result codes that shallotpier reports to callers, to
+// operators and in its logs. Each [Code] states whether the caller's request ran.
 //
-// A request ran, did not run, or nobody can tell. [No] is only reported where
-// it is proved: no byte of the request left for a backend server, or the
-// backend server itself answered that it shed the request. Everything else
-// that ended without the backend server's whole answer is [Unknown].
+// A request ran ([Yes]), did not run ([No]), or this can't be determined
+// ([Unknown]). No is reported only if it is certain: no byte of the request was
+// sent to a backend server, or the backend server reported that it shed the
+// request. Any other request without a complete answer of the backend server is
+// Unknown.
 //
-// docs/RESULTS.md holds the table of codes; a test keeps it equal to [Codes].
+// docs/RESULTS.md contains the table of codes; a test compares it with [Codes].
 //
 // # Usage
 //
--- a/pkg/result/operator.go
+++ b/pkg/result/operator.go
@@ -2,26 +2,27 @@
 
 import "net/http"
 
-// Codes of operators' commands.
+// Codes of operator commands.
 const (
-	// OperatorUnknown means that the bearer token is missing or not known.
+	// OperatorUnknown means that the bearer token is missing or unknown.
 	OperatorUnknown Code = 6000
 	// OperatorRole means that the operator's role does not allow the command.
 	OperatorRole Code = 6001
 	// BadCommand means that the command is malformed.
 	BadCommand Code = 6002
-	// NoTarget means that what the command names does not exist.
+	// NoTarget means that the target of the command does not exist.
 	NoTarget Code = 6003
-	// DrainUnsafe means that a drain would leave too little headroom.
+	// DrainUnsafe means that a drain would reduce a region's headroom below its
+	// floor.
 	DrainUnsafe Code = 6004
-	// CommandFailed means that the entry could not do the command.
+	// CommandFailed means that the entry failed to execute the command.
 	CommandFailed Code = 6005
-	// EntryUnreachable means that the entry's operators' listener can't be
-	// asked.
+	// EntryUnreachable means that the entry's operator listener is unreachable.
 	EntryUnreachable Code = 6006
-	// WaitEnded means that the time to wait ended before the drain did.
+	// WaitEnded means that the wait timed out or was interrupted before the
+	// drain was complete; the drain continues.
 	WaitEnded Code = 6007
-	// PromiseBroken means that a trial saw a promise broken.
+	// PromiseBroken means that a trial found a violated guarantee.
 	PromiseBroken Code = 6008
 )
 
--- a/pkg/result/result.go
+++ b/pkg/result/result.go
@@ -9,37 +9,38 @@
 
 // Headers of requests and answers between a caller and an entry.
 const (
-	// HeaderCode holds the Code of an answer.
+	// HeaderCode contains the Code of an answer, in decimal.
 	HeaderCode = "Shallotpier-Code"
-	// HeaderRan holds whether the request ran.
+	// HeaderRan contains the Ran of an answer: yes, no or unknown.
 	HeaderRan = "Shallotpier-Ran"
-	// HeaderVersion holds the configuration version that an answer rests on.
+	// HeaderVersion contains a configuration version: in an answer, the one that
+	// it is based on; in a request, the highest one that the caller has seen.
 	HeaderVersion = "Shallotpier-Version"
 	// HeaderEntry names the entry instance that answered.
 	HeaderEntry = "Shallotpier-Entry"
 	// HeaderServer names the backend server that a request was sent to.
 	HeaderServer = "Shallotpier-Server"
-	// HeaderTicket holds the ticket of a once-only request.
+	// HeaderTicket contains the ticket of an at-most-once request.
 	HeaderTicket = "Shallotpier-Ticket"
-	// HeaderDeadline holds the milliseconds that a request may still take.
+	// HeaderDeadline contains the time left for the request, in milliseconds.
 	HeaderDeadline = "Shallotpier-Deadline"
-	// HeaderRequestID holds the request's id, kept from caller to backend
-	// server.
+	// HeaderRequestID contains the request's ID, which entries forward to the
+	// backend server.
 	HeaderRequestID = "Shallotpier-Request-Id"
-	// HeaderSend holds the id of one send of a request to a backend server.
-	// A backend server that repeats it in its answer gets its connections
-	// used again.
+	// HeaderSend contains the ID of one send of a request to a backend server.
+	// Connections are reused only for backend servers that return the header in
+	// their answers.
 	HeaderSend = "Shallotpier-Send"
-	// HeaderKey holds the caller's own idempotency key, if it has one.
+	// HeaderKey contains the caller's own idempotency key, if it has one.
 	HeaderKey = "Idempotency-Key"
-	// HeaderShed is set to "1" by a backend server that refused a request
-	// before running any of it.
+	// HeaderShed is set to "1" by a backend server that shed a request without
+	// running any part of it.
 	HeaderShed = "Shallotpier-Shed"
 )
 
 const (
-	// Unknown means that nobody can tell whether the request ran. It is the
-	// zero Ran.
+	// Unknown means that it can't be determined whether the request ran. It is
+	// the zero value.
 	Unknown Ran = iota
 	// No means that the request provably did not run.
 	No
@@ -47,7 +48,7 @@
 	Yes
 )
 
-// Groups of the codes of requests.
+// Groups of the request codes: the thousands of a Code.
 const (
 	groupSize = 1000
 
@@ -57,30 +58,31 @@
 )
 
 type (
-	// Ran tells whether a request was run by a backend server.
+	// Ran reports whether a request was run by a backend server.
 	Ran uint8
 
-	// Code numbers an outcome. Its thousands name the group: 1 served,
-	// 2 refused and not run, 3 ended without proof, 4 settings and service
-	// files, 5 platform store and publication, 6 operators' commands.
+	// Code is a result code. Its thousands are the group: 1 served, 2 refused
+	// and not run, 3 ended with unknown outcome, 4 settings and service files,
+	// 5 platform store and publication, 6 operator commands.
 	Code int
 
 	// Info describes a Code.
 	Info struct {
-		// Code is the number itself.
+		// Code is the number.
 		Code Code
-		// Name is the code's name in logs, in camelCase.
+		// Name is the code's name in logs, in camel case.
 		Name string
-		// Status is the HTTP status an entry answers with; 0 where the code is
-		// not an answer of an entry or the status is the backend server's.
+		// Status is the HTTP status of an entry's answer; 0 if the code is not
+		// used in answers of entries, or if the status is the backend server's.
 		Status int
-		// Ran tells whether the request ran.
+		// Ran reports whether the request ran.
 		Ran Ran
-		// Meaning says when the code is given.
+		// Meaning describes the outcome.
 		Meaning string
-		// Caller says what the caller should do.
+		// Caller states what the caller should do; empty if the code is not
+		// reported to callers.
 		Caller string
-		// Operator says what the operator should do.
+		// Operator states what the operator should do.
 		Operator string
 	}
 )
@@ -112,11 +114,11 @@
 	return nil
 }
 
-// String returns the code's number in decimal.
+// String returns the number in decimal.
 func (c Code) String() string { return strconv.Itoa(int(c)) }
 
-// Info returns the code's description; ok is false for a number that is not
-// in the table.
+// Info returns the code's description; ok is false if the number is not in the
+// table.
 func (c Code) Info() (info Info, ok bool) {
 	for _, i := range c.group() {
 		if i.Code == c {
@@ -126,8 +128,8 @@
 	return Info{Code: c, Status: http.StatusInternalServerError}, false
 }
 
-// Ran tells whether a request that ended with the code was run. It doesn't
-// look into the table, so that it may be used on the path of a request.
+// Ran reports whether a request that ended with the code ran. For the codes of
+// requests it needs no table lookup, so that it is cheap on the request path.
 func (c Code) Ran() Ran {
 	switch c / groupSize {
 	case servedGroup:
--- a/pkg/result/result_test.go
+++ b/pkg/result/result_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-func TestCodesAreAscendingAndNamedOnce(t *testing.T) {
+func TestCodesAscendAndNamesAreUnique(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
 	last := result.Code(0)
@@ -19,7 +19,7 @@
 		is.True(info.Code > last) // codes ascend
 		is.True(!names[info.Name])
 		names[info.Name] = true
-		is.Equal(info.Code.Ran(), info.Ran) // the group tells the same as the table
+		is.Equal(info.Code.Ran(), info.Ran) // the group implies the same Ran as the table
 		found, ok := info.Code.Info()
 		is.True(ok)
 		is.Equal(found, info)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestResultsPageHoldsEveryCode(t *testing.T) {
+func TestResultsPageListsEveryCode(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/RESULTS.md")
 	is.NoErr(err)
@@ -37,9 +37,9 @@
 			rows++
 		}
 	}
-	is.Equal(rows, len(result.Codes())) // the page has no further codes
+	is.Equal(rows, len(result.Codes())) // the page has no other codes
 	for _, i := range result.Codes() {
-		is.True(strings.Contains(string(page), row(i))) // the page holds the row
+		is.True(strings.Contains(string(page), row(i))) // the page contains the row
 	}
 }
 
