--- a/pkg/service/check.go
+++ b/pkg/service/check.go
@@ -10,16 +10,17 @@
 
 // Bounds of the values in a service file.
 const (
-	// MaxSlots is the greatest number of slots of one backend server.
+	// MaxSlots is the maximum number of slots (concurrent requests) of one
+	// backend server.
 	MaxSlots = 10_000
-	// MaxAttempts is the greatest number of sends of one request.
+	// MaxAttempts is the maximum number of sends of one request.
 	MaxAttempts = 5
 	// MaxDeadline is the longest deadline of a class.
 	MaxDeadline = 24 * time.Hour
 )
 
-// Check tells the first thing that is wrong with the file, nil if nothing is.
-// The returned problem has neither file name nor line.
+// Check returns the first error in the file, without file name and line; nil if
+// there is none.
 func (f *File) Check() *FileError {
 	checks := []func() *FileError{f.checkHead, f.checkRegions, f.checkClasses, f.checkServers}
 	for _, check := range checks {
@@ -35,15 +36,15 @@
 	case f.Service == "":
 		return missing("service")
 	case f.ShiftCap.Rise <= 0:
-		return impossible("shiftCap.rise", "must be above 0")
+		return impossible("shiftCap.rise", "is %v, must be greater than 0", f.ShiftCap.Rise)
 	case f.ShiftCap.Window <= 0:
-		return impossible("shiftCap.window", "must be above 0")
+		return impossible("shiftCap.window", "is %s, must be greater than 0", f.ShiftCap.Window)
 	case f.DrainTime <= 0:
-		return impossible("drainTime", "must be above 0")
+		return impossible("drainTime", "is %s, must be greater than 0", f.DrainTime)
 	case f.Retry.Attempts < 1 || f.Retry.Attempts > MaxAttempts:
-		return impossible("retry.attempts", "must be 1 to %d", MaxAttempts)
+		return impossible("retry.attempts", "is %d, must be 1 to %d", f.Retry.Attempts, MaxAttempts)
 	case !(f.Retry.Budget >= 0 && f.Retry.Budget <= 1):
-		return impossible("retry.budget", "must be 0 to 1")
+		return impossible("retry.budget", "is %v, must be 0 to 1", f.Retry.Budget)
 	}
 	return nil
 }
@@ -58,7 +59,7 @@
 			return p.At(i)
 		}
 		if seen[r.Name] {
-			return impossible("regions.name", "%q is named twice", r.Name).At(i)
+			return impossible("regions.name", "duplicate name %q", r.Name).At(i)
 		}
 		seen[r.Name] = true
 	}
@@ -70,9 +71,9 @@
 	case r.Name == "":
 		return missing("regions.name")
 	case r.Weight < 0:
-		return impossible("regions.weight", "must be 0 or above")
+		return impossible("regions.weight", "is %d, must be 0 or greater", r.Weight)
 	case !(r.HeadroomFloor >= 0 && r.HeadroomFloor < 1):
-		return impossible("regions.headroomFloor", "must be 0 or above and below 1")
+		return impossible("regions.headroomFloor", "is %v, must be 0 or greater and less than 1", r.HeadroomFloor)
 	}
 	return nil
 }
@@ -88,7 +89,7 @@
 			return p.At(i)
 		}
 		if seen[c.Name] {
-			return impossible("classes.name", "%q is named twice", c.Name).At(i)
+			return impossible("classes.name", "duplicate name %q", c.Name).At(i)
 		}
 		seen[c.Name] = true
 	}
@@ -100,15 +101,15 @@
 	case c.Name == "":
 		return missing("classes.name")
 	case c.Kind != Read && c.Kind != Write && c.Kind != Once && c.Kind != Upload:
-		return impossible("classes.kind", "%q: want read, write, once or upload", c.Kind)
+		return impossible("classes.kind", "is %q, must be read, write, once or upload", c.Kind)
 	case len(c.Methods) == 0:
 		return missing("classes.methods")
 	case c.PathPrefix == "" || c.PathPrefix[0] != '/':
-		return impossible("classes.pathPrefix", "must start with a slash")
+		return impossible("classes.pathPrefix", "is %q, must start with a slash", c.PathPrefix)
 	case c.Deadline <= 0 || c.Deadline.Std() > MaxDeadline:
-		return impossible("classes.deadline", "must be above 0 and at most %s", MaxDeadline)
+		return impossible("classes.deadline", "is %s, must be greater than 0 and at most %s", c.Deadline, MaxDeadline)
 	case c.BodyLimit < 0:
-		return impossible("classes.bodyLimit", "must be 0 or above")
+		return impossible("classes.bodyLimit", "is %d bytes, must be 0 or greater", c.BodyLimit)
 	}
 	return nil
 }
@@ -124,7 +125,7 @@
 			return p.At(i)
 		}
 		if seen[s.Name] {
-			return impossible("servers.name", "%q is named twice", s.Name).At(i)
+			return impossible("servers.name", "duplicate name %q", s.Name).At(i)
 		}
 		seen[s.Name] = true
 	}
@@ -140,9 +141,9 @@
 	case s.Zone == "":
 		return missing("servers.zone")
 	case s.Slots < 1 || s.Slots > MaxSlots:
-		return impossible("servers.slots", "must be 1 to %d", MaxSlots)
+		return impossible("servers.slots", "is %d, must be 1 to %d", s.Slots, MaxSlots)
 	case s.Connections < s.Slots:
-		return impossible("servers.connections", "must be at least the server's slots")
+		return impossible("servers.connections", "is %d, must be at least the server's slots (%d)", s.Connections, s.Slots)
 	}
 	return nil
 }
@@ -155,7 +156,8 @@
 	return &FileError{Key: key, Code: result.ImpossibleValue, Text: fmt.Sprintf(format, args...)}
 }
 
-// At sets the position in the list that the problem stands in and returns it.
+// At sets Item, the index in the list that the key's first part names, and
+// returns the error.
 func (p *FileError) At(item int) *FileError {
 	p.Item = item
 	return p
--- a/pkg/service/doc.go
+++ b/pkg/service/doc.go
@@ -1,10 +1,13 @@
-// Package service holds the service file, the short TOML file that an
-// operator keeps beside a service's code, and the checks of it.
+// Package service decodes and validates the service file, the TOML file that an
+// operator keeps beside a service's code.
 //
-// A [File] says where a service's traffic may go, how much may shift at once,
-// how long a leaving backend server may keep its work, which classes of
-// requests there are, and which backend servers answer them. A decoded file is
-// immutable: the request path reads it without locks.
+// A [File] defines the regions that a service's traffic may go to, how fast the
+// traffic may shift, how long connection draining of a backend server may take,
+// the request classes, and the backend servers. A decoded file must not be
+// modified: the request path reads it without locks.
+//
+// [Parse] returns errors as a [*FileError] with file, line, key and code.
+// [Decode] decodes other TOML files with the same strictness.
 //
 // # Usage
 //
--- a/pkg/service/file.go
+++ b/pkg/service/file.go
@@ -10,81 +10,85 @@
 
 // Kinds of requests.
 const (
-	// Read requests change nothing and may be sent again.
+	// Read requests change nothing; they may be retried.
 	Read Kind = "read"
-	// Write requests change something; they are sent again only if they
-	// provably did not run.
+	// Write requests change something; they are retried only if they provably
+	// did not run.
 	Write Kind = "write"
-	// Once requests are executed at most once and need a ticket.
+	// Once requests are executed at most once; they need a ticket.
 	Once Kind = "once"
-	// Upload requests are writes with a large body, sent over a long time.
+	// Upload requests are writes with a large body that takes long to send.
 	Upload Kind = "upload"
 )
 
 type (
-	// Kind tells how requests of a class may be treated.
+	// Kind determines whether and when requests of a class may be retried.
 	Kind string
 
-	// File is one service's steering intent, as its TOML file says it.
+	// File is the configuration of one service.
 	File struct {
 		// Service names the service.
 		Service id.Service `toml:"service" json:"service"`
-		// Regions lists where the service's traffic may go.
+		// Regions lists the regions that the service's traffic may go to.
 		Regions []Region `toml:"regions" json:"regions"`
-		// ShiftCap bounds how fast traffic toward a region may rise.
+		// ShiftCap limits how fast traffic toward a region may rise.
 		ShiftCap ShiftCap `toml:"shiftCap" json:"shiftCap"`
-		// DrainTime is how long a leaving backend server keeps its work.
+		// DrainTime is how long running requests may continue on a leaving
+		// backend server (connection draining).
 		DrainTime unit.Duration `toml:"drainTime" json:"drainTime"`
-		// Retry bounds what the system sends again by itself.
+		// Retry limits the retries by entries.
 		Retry Retry `toml:"retry" json:"retry"`
-		// Classes lists the request classes; the first match counts.
+		// Classes lists the request classes; the first that matches applies.
 		Classes []Class `toml:"classes" json:"classes"`
 		// Servers lists the backend servers.
 		Servers []Server `toml:"servers" json:"servers"`
 	}
 
-	// Region allows a region.
+	// Region is a region that the service's traffic may go to.
 	Region struct {
 		// Name is the region's name.
 		Name id.Region `toml:"name" json:"name"`
-		// Weight is the region's share among those allowed; 0 keeps it for
-		// overflow alone.
+		// Weight is the region's share of the traffic, relative to the sum over
+		// the regions; a region with weight 0 is used for overflow only.
 		Weight int `toml:"weight" json:"weight"`
-		// HeadroomFloor is the share of the region's slots, 0 to 1, that
-		// planned drains must leave free.
+		// HeadroomFloor is the fraction of the region's slots, at least 0 and
+		// less than 1, that drains by operators must leave free.
 		HeadroomFloor float64 `toml:"headroomFloor" json:"headroomFloor"`
 	}
 
-	// ShiftCap bounds the rise of admitted requests toward each region: in
-	// any Window the admitted rate may rise by at most Rise.
+	// ShiftCap limits the rise of the rate of admitted requests toward each
+	// region: within any Window the rate may rise by at most Rise.
 	ShiftCap struct {
-		// Rise is in requests a second.
+		// Rise is in requests per second.
 		Rise unit.Rate `toml:"rise" json:"rise"`
-		// Window is the time over which a rise is counted.
+		// Window is the period over which the rise is measured.
 		Window unit.Duration `toml:"window" json:"window"`
 	}
 
-	// Retry bounds what the system sends again by itself.
+	// Retry limits the retries by entries.
 	Retry struct {
-		// Attempts is the greatest number of sends of one request.
+		// Attempts is the maximum number of sends of one request, including the
+		// first.
 		Attempts int `toml:"attempts" json:"attempts"`
-		// Budget is the greatest share of retries among first sends, 0 to 1.
+		// Budget is the retry budget: the maximum ratio of retries to first
+		// sends, 0 to 1.
 		Budget float64 `toml:"budget" json:"budget"`
 	}
 
-	// Class is a kind of request to the service.
+	// Class is a request class: the requests with given methods and path prefix.
 	Class struct {
 		// Name is the class's name.
 		Name id.Class `toml:"name" json:"name"`
-		// Kind tells how its requests may be treated.
+		// Kind determines whether and when its requests may be retried.
 		Kind Kind `toml:"kind" json:"kind"`
 		// Methods lists the HTTP methods that match.
 		Methods []string `toml:"methods" json:"methods"`
-		// PathPrefix matches the path after the service's own prefix.
+		// PathPrefix is matched against the path without the service's own
+		// prefix; it starts with a slash.
 		PathPrefix string `toml:"pathPrefix" json:"pathPrefix"`
-		// Deadline is the longest time a request may take in all.
+		// Deadline is the maximum total duration of a request.
 		Deadline unit.Duration `toml:"deadline" json:"deadline"`
-		// BodyLimit is the largest body that is taken.
+		// BodyLimit is the maximum size of a request body, in bytes.
 		BodyLimit unit.Bytes `toml:"bodyLimit" json:"bodyLimit"`
 	}
 
@@ -94,19 +98,22 @@
 		Name id.Server `toml:"name" json:"name"`
 		// Address is its IP address and port.
 		Address netip.AddrPort `toml:"address" json:"address"`
-		// Zone is the availability zone it stands in.
+		// Zone is the availability zone in which it runs.
 		Zone id.Zone `toml:"zone" json:"zone"`
-		// Slots is how many requests it runs at the same time.
+		// Slots is the concurrency limit: the number of requests that it runs at
+		// the same time.
 		Slots int `toml:"slots" json:"slots"`
-		// Connections is how many open connections it carries.
+		// Connections is the maximum number of open connections to it; at least
+		// Slots.
 		Connections int `toml:"connections" json:"connections"`
-		// Leaving marks a server that gets no new work.
+		// Leaving marks a server that is to be drained: it gets no new requests.
 		Leaving bool `toml:"leaving,omitempty" json:"leaving,omitempty"`
 	}
 )
 
-// Match returns the first class for method and path, nil if there is none.
-// The path starts with a slash and has the service's own prefix removed.
+// Match returns the first class that matches method and path; nil if there is
+// none. The path starts with a slash and does not include the service's own
+// prefix.
 func (f *File) Match(method, path string) *Class {
 	for i := range f.Classes {
 		if f.Classes[i].matches(method, path) {
@@ -116,7 +123,7 @@
 	return nil
 }
 
-// Server returns the named backend server, nil if there is none.
+// Server returns the backend server with the name; nil if there is none.
 func (f *File) Server(name id.Server) *Server {
 	for i := range f.Servers {
 		if f.Servers[i].Name == name {
@@ -126,7 +133,7 @@
 	return nil
 }
 
-// Slots returns the sum of slots over the servers that are not leaving.
+// Slots returns the sum of the slots of all servers that are not leaving.
 func (f *File) Slots() int {
 	sum := 0
 	for i := range f.Servers {
@@ -137,8 +144,8 @@
 	return sum
 }
 
-// Safe tells whether requests of the kind may be sent again without proof
-// that they did not run.
+// Safe reports whether requests of the kind may be retried without proof that
+// they did not run.
 func (k Kind) Safe() bool { return k == Read }
 
 func (c *Class) matches(method, path string) bool {
--- a/pkg/service/locate.go
+++ b/pkg/service/locate.go
@@ -6,8 +6,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Locate fills in the file's name and the line: that of the key, of the table
-// that should hold it, or the first. It returns the problem.
+// Locate sets File and Line and returns the error. The line is that of the key,
+// else of the table that should contain it, else 1.
 func (p *FileError) Locate(name string, data []byte) *FileError {
 	p.File = name
 	l := locator{key: p.Key, item: p.Item, seen: -1}
@@ -20,13 +20,13 @@
 	return p
 }
 
-// locator finds the line of a dotted key. The line of the longest part of it
-// that stands in the file counts.
+// locator finds the line of a dotted key, or of the longest prefix of it that the
+// file contains.
 type locator struct {
 	key    string
 	item   int
-	seen   int    // items of the key's list seen, less one
-	prefix string // dotted name of the current table with a final dot
+	seen   int    // index of the current item of the key's list, -1 before the first
+	prefix string // dotted name of the current table, with a trailing dot
 	line   int
 	length int
 }
--- a/pkg/service/parse.go
+++ b/pkg/service/parse.go
@@ -11,24 +11,25 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// FileError says what is wrong with a service file or a settings file.
+// FileError is an error in a service file, a deployment file or a settings file.
 type FileError struct {
 	// File is the file's name.
 	File string
-	// Line is counted from 1; 0 where no line can be given.
+	// Line is the line, counted from 1; 0 if it is not known.
 	Line int
-	// Key is the dotted key, such as "classes.deadline".
+	// Key is the dotted key, such as "classes.deadline"; empty if the error is not
+	// about a key.
 	Key string
-	// Item is the position, from 0, in the list that the key's first part
+	// Item is the index, counted from 0, in the list that the key's first part
 	// names.
 	Item int
-	// Code is the numbered result code.
+	// Code is the result code, 4000 to 4004.
 	Code result.Code
-	// Text says what is wrong.
+	// Text describes the error.
 	Text string
 }
 
-// Error formats the problem as "file:line: key: text (code N)".
+// Error formats the error as "file:line: key: text (code N)".
 func (p *FileError) Error() string {
 	where := p.File
 	if p.Line > 0 {
@@ -40,7 +41,8 @@
 	return fmt.Sprintf("%s: %s (code %d)", where, p.Text, p.Code)
 }
 
-// Parse decodes and checks a service file. The error is a *FileError.
+// Parse decodes and validates a service file; name is the file's name in errors.
+// The error is a *FileError.
 func Parse(name string, data []byte) (*File, error) {
 	file := new(File)
 	if err := Decode(name, data, file); err != nil {
@@ -53,9 +55,10 @@
 }
 
 // Decode decodes TOML strictly into dst, a pointer to a struct whose fields all
-// have toml tags. Keys must be known, in their exact case, and values with a
-// text form must be strings of that form. It checks dst no further. The error
-// is a *FileError that names file, line and key.
+// have toml tags. Unknown keys are errors, keys are case-sensitive, and a value
+// whose type implements encoding.TextUnmarshaler must be a string. Decode does
+// not validate dst further. The error is a *FileError with file, line and key;
+// line and key are missing if the document could not be read.
 func Decode(name string, data []byte, dst any) error {
 	if p := checkStrict(name, data, reflect.TypeOf(dst).Elem()); p != nil {
 		return p
--- a/pkg/service/strict.go
+++ b/pkg/service/strict.go
@@ -10,30 +10,31 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// strict checks a TOML document against the type it is to be decoded into,
-// where the decoder is lenient: keys must match in case too, and a value whose
-// type has a text form must be a string that UnmarshalText accepts.
-type strict struct {
+// strictChecker checks a TOML document against the type that it is decoded into
+// where the decoder is too lenient: keys are case-sensitive, and a value whose
+// type implements encoding.TextUnmarshaler must be a string that UnmarshalText
+// accepts.
+type strictChecker struct {
 	parser unstable.Parser
 	file   string
-	table  reflect.Type // nil where nothing is known of the current table
-	prefix string       // dotted name of the current table with a final dot
+	table  reflect.Type // type of the current table, nil if it is not known
+	prefix string       // dotted name of the current table, with a trailing dot
 }
 
 func checkStrict(file string, data []byte, root reflect.Type) *FileError {
-	s := strict{file: file, table: root}
+	s := strictChecker{file: file, table: root}
 	s.parser.Reset(data)
 	for s.parser.NextExpression() {
-		if p := s.visit(s.parser.Expression(), root); p != nil {
+		if p := s.checkExpression(s.parser.Expression(), root); p != nil {
 			return p
 		}
 	}
 	return nil
 }
 
-func (s *strict) visit(n *unstable.Node, root reflect.Type) *FileError {
+func (s *strictChecker) checkExpression(n *unstable.Node, root reflect.Type) *FileError {
 	if n.Kind == unstable.KeyValue {
-		return s.keyValue(s.table, s.prefix, n)
+		return s.checkKeyValue(s.table, s.prefix, n)
 	}
 	name, first := dottedKey(n)
 	if first == nil {
@@ -44,28 +45,28 @@
 	return p
 }
 
-func (s *strict) keyValue(table reflect.Type, prefix string, n *unstable.Node) *FileError {
+func (s *strictChecker) checkKeyValue(table reflect.Type, prefix string, n *unstable.Node) *FileError {
 	t, p := s.descend(table, prefix, n)
 	if p != nil || t == nil {
 		return p
 	}
 	name, first := dottedKey(n)
-	return s.value(t, prefix+name, s.line(first), n.Value())
+	return s.checkValue(t, prefix+name, s.line(first), n.Value())
 }
 
-func (s *strict) value(t reflect.Type, key string, line int, n *unstable.Node) *FileError {
+func (s *strictChecker) checkValue(t reflect.Type, key string, line int, n *unstable.Node) *FileError {
 	switch {
-	case hasText(t):
-		return s.text(t, key, line, n)
+	case isTextUnmarshaler(t):
+		return s.checkText(t, key, line, n)
 	case n.Kind == unstable.Array && isList(t):
 		for it := n.Children(); it.Next(); {
-			if p := s.value(t.Elem(), key, line, it.Node()); p != nil {
+			if p := s.checkValue(t.Elem(), key, line, it.Node()); p != nil {
 				return p
 			}
 		}
 	case n.Kind == unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
-			if p := s.keyValue(t, key+".", it.Node()); p != nil {
+			if p := s.checkKeyValue(t, key+".", it.Node()); p != nil {
 				return p
 			}
 		}
@@ -73,7 +74,7 @@
 	return nil
 }
 
-func (s *strict) text(t reflect.Type, key string, line int, n *unstable.Node) *FileError {
+func (s *strictChecker) checkText(t reflect.Type, key string, line int, n *unstable.Node) *FileError {
 	p := &FileError{File: s.file, Line: line, Key: key, Code: result.WrongType}
 	if n.Kind != unstable.String {
 		p.Text = "want a string in quotes"
@@ -90,14 +91,15 @@
 	return nil
 }
 
-// descend returns the type that the node's key leads to from t.
-func (s *strict) descend(t reflect.Type, prefix string, n *unstable.Node) (reflect.Type, *FileError) {
+// descend returns the type of the field that the node's key selects in t; nil if
+// t has no fields that could be checked.
+func (s *strictChecker) descend(t reflect.Type, prefix string, n *unstable.Node) (reflect.Type, *FileError) {
 	for it := n.Key(); it.Next(); {
 		part := it.Node()
 		for t != nil && (isList(t) || t.Kind() == reflect.Pointer) {
 			t = t.Elem()
 		}
-		if t == nil || t.Kind() != reflect.Struct || hasText(t) {
+		if t == nil || t.Kind() != reflect.Struct || isTextUnmarshaler(t) {
 			return nil, nil
 		}
 		field, ok := fieldOf(t, string(part.Data))
@@ -110,7 +112,7 @@
 	return t, nil
 }
 
-func (s *strict) line(n *unstable.Node) int { return s.parser.Shape(n.Raw).Start.Line }
+func (s *strictChecker) line(n *unstable.Node) int { return s.parser.Shape(n.Raw).Start.Line }
 
 func fieldOf(t reflect.Type, key string) (reflect.Type, bool) {
 	for i := range t.NumField() {
@@ -124,6 +126,6 @@
 
 func isList(t reflect.Type) bool { return t.Kind() == reflect.Slice || t.Kind() == reflect.Array }
 
-func hasText(t reflect.Type) bool {
+func isTextUnmarshaler(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
