--- a/pkg/unit/doc.go
+++ b/pkg/unit/doc.go
@@ -1,6 +1,6 @@
-// Package unit holds the quantities of the configuration and the decisions
-// whose unit a plain number would hide: bytes, bits a second and requests a
-// second. Time is a [Duration], a time.Duration written "1m30s" in TOML and
+// Package unit defines types for quantities whose unit a plain number would not
+// show: sizes in bytes, bit rates in bits per second, and rates in requests per
+// second. A [Duration] is a time.Duration with the text form "1m30s" in TOML and
 // JSON.
 //
 // # Usage
--- a/pkg/unit/unit.go
+++ b/pkg/unit/unit.go
@@ -17,7 +17,7 @@
 	GiB        = 1024 * MiB
 )
 
-// Rates in bits a second.
+// Rates in bits per second.
 const (
 	BitPerSecond BitRate = 1
 	Kbit                 = 1000 * BitPerSecond
@@ -30,15 +30,16 @@
 type (
 	// Bytes is a size in bytes.
 	Bytes int64
-	// BitRate is a rate in bits a second.
+	// BitRate is a rate in bits per second.
 	BitRate int64
-	// Rate is a rate in requests a second.
+	// Rate is a rate in requests per second.
 	Rate float64
 	// Duration is a time.Duration with a text form such as "1m30s".
 	Duration time.Duration
 )
 
-// UnmarshalText decodes "512", "64KiB", "20MiB" or "1GiB".
+// UnmarshalText decodes a whole number with an optional unit, such as "512",
+// "512B", "64KiB", "20MiB" or "1GiB".
 func (b *Bytes) UnmarshalText(text []byte) error {
 	n, err := parse(string(text), []suffix{{"GiB", int64(GiB)}, {"MiB", int64(MiB)}, {"KiB", int64(KiB)}, {"B", 1}, {"", 1}})
 	if err != nil {
@@ -53,7 +54,8 @@
 	return []byte(format(int64(b), []suffix{{"GiB", int64(GiB)}, {"MiB", int64(MiB)}, {"KiB", int64(KiB)}, {"B", 1}})), nil
 }
 
-// UnmarshalText decodes "4Gbit/s", "300Mbit/s", "64Kbit/s" or "1000bit/s".
+// UnmarshalText decodes a whole number with a unit, such as "4Gbit/s",
+// "300Mbit/s", "64Kbit/s" or "1000bit/s".
 func (r *BitRate) UnmarshalText(text []byte) error {
 	n, err := parse(string(text), []suffix{{"Gbit/s", int64(Gbit)}, {"Mbit/s", int64(Mbit)}, {"Kbit/s", int64(Kbit)}, {"bit/s", 1}})
 	if err != nil {
@@ -68,18 +70,18 @@
 	return []byte(format(int64(r), []suffix{{"Gbit/s", int64(Gbit)}, {"Mbit/s", int64(Mbit)}, {"Kbit/s", int64(Kbit)}, {"bit/s", 1}})), nil
 }
 
-// BytesPerSecond returns the rate in bytes a second, rounded down.
+// BytesPerSecond returns the rate in bytes per second, rounded down.
 func (r BitRate) BytesPerSecond() Bytes { return Bytes(r / bitsPerByte) }
 
-// UnmarshalText decodes a duration in the form of time.ParseDuration; it
-// refuses negative ones.
+// UnmarshalText decodes a duration in the form of time.ParseDuration; a negative
+// one is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return eris.Errorf("duration %q: want a form such as \"1m30s\"", text)
+		return eris.Errorf("duration %q: want a number with a unit, such as \"1m30s\"", text)
 	}
 	if v < 0 {
-		return eris.Errorf("duration %q is negative", text)
+		return eris.Errorf("duration %q is negative, want 0 or more", text)
 	}
 	*d = Duration(v)
 	return nil
--- a/pkg/unit/unit_test.go
+++ b/pkg/unit/unit_test.go
@@ -17,7 +17,7 @@
 	}{
 		"bare number":  {give: "512", want: 512, text: "512B", ok: true},
 		"kibibytes":    {give: "64KiB", want: 64 * unit.KiB, text: "64KiB", ok: true},
-		"folds up":     {give: "1024MiB", want: unit.GiB, text: "1GiB", ok: true},
+		"larger unit":  {give: "1024MiB", want: unit.GiB, text: "1GiB", ok: true},
 		"negative":     {give: "-1KiB"},
 		"fraction":     {give: "1.5MiB"},
 		"out of range": {give: "9223372036854775807GiB"},
@@ -67,9 +67,9 @@
 		give string
 		ok   bool
 	}{
-		"minutes":  {give: "1m30s", ok: true},
-		"negative": {give: "-1s"},
-		"bare":     {give: "30"},
+		"minutes":      {give: "1m30s", ok: true},
+		"negative":     {give: "-1s"},
+		"missing unit": {give: "30"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
