--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -19,25 +19,27 @@
 
 // Exit codes.
 const (
-	// ExitDone means that the command did what it says.
+	// ExitDone means that the command succeeded.
 	ExitDone = iota
-	// ExitFailed means that something else stopped the command.
+	// ExitFailed means that the command failed for a reason without an exit code
+	// of its own.
 	ExitFailed
-	// ExitUsage means wrong flags, operands or files.
+	// ExitUsage means that flags, operands or files are invalid.
 	ExitUsage
-	// ExitNotAllowed means that the operator may not do this.
+	// ExitNotAllowed means that the operator is unknown or may not run the
+	// command.
 	ExitNotAllowed
-	// ExitUnreachable means that the entry or the store can't be asked, and
-	// that nothing was written.
+	// ExitUnreachable means that the entry or the store is unreachable; nothing
+	// was written to the store.
 	ExitUnreachable
-	// ExitRefused means that a check refused the command.
+	// ExitRefused means that a check rejected the command.
 	ExitRefused
-	// ExitOvertaken means that another publication has the version.
+	// ExitOvertaken means that another publication got the version.
 	ExitOvertaken
-	// ExitNotYetKnown means that the outcome is not certain, or that a drain
-	// goes on.
+	// ExitNotYetKnown means that the outcome is not known yet, or that a drain
+	// continues.
 	ExitNotYetKnown
-	// ExitPromiseBroken means that a trial saw a promise broken.
+	// ExitPromiseBroken means that a trial found a violated guarantee.
 	ExitPromiseBroken
 )
 
@@ -49,26 +51,28 @@
 type (
 	// App is the command line.
 	App struct {
-		// Stdout gets results.
+		// Stdout receives results.
 		Stdout io.Writer
-		// Stderr gets progress and problems.
+		// Stderr receives progress and errors.
 		Stderr io.Writer
-		// Terminal tells whether Stderr is one, so that progress is shown.
+		// Terminal reports whether Stderr is a terminal; only then is the
+		// progress of a trial shown.
 		Terminal bool
 
-		output string
-		acted  bool
+		output        string
+		actionStarted bool
 	}
 
-	// table is a result as text.
-	table interface {
-		// text writes the result for people.
+	// textResult is a result with a text form; its JSON form is encoded by
+	// encoding/json.
+	textResult interface {
+		// text writes the text form.
 		text(w io.Writer) error
 	}
 )
 
-// Run runs the command that args, the program's name first, asks for and
-// returns the exit code.
+// Run runs the command in args, which start with the program's name, and returns
+// the exit code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	if err := logs.Adopt(slog.New(slog.DiscardHandler)); err != nil {
 		fmt.Fprintln(a.Stderr, err)
@@ -85,7 +89,7 @@
 func (a *App) root() *urfave.Command {
 	return &urfave.Command{
 		Name:                  "shallotpier",
-		Usage:                 "steer traffic to backend servers that are upgraded every night",
+		Usage:                 "inspect and operate entries, publish service files, run trials and benchmarks",
 		Description:           "Examples:\n   shallotpier check services/\n   shallotpier publish --store 10.0.0.1:7000 services/\n   shallotpier --output json status --entry 10.0.1.1:7300\n\nShell completion:\n   source <(shallotpier completion bash)",
 		EnableShellCompletion: true,
 		Writer:                a.Stdout,
@@ -94,7 +98,7 @@
 		Flags: []urfave.Flag{
 			&urfave.StringFlag{
 				Name: "output", Aliases: []string{"o"}, Value: outputText, Destination: &a.output,
-				Usage: "form of the result: text or json", Validator: checkOutput,
+				Usage: "output format: text or json", Validator: checkOutput,
 			},
 		},
 		Action: func(_ context.Context, cmd *urfave.Command) error {
@@ -129,31 +133,32 @@
 	return nil
 }
 
-// action marks that flags and operands were right before it acts.
+// action returns act as the action of a command. An error before act is called
+// comes from the parsing of flags and counts as a usage error.
 func (a *App) action(act func(ctx context.Context, cmd *urfave.Command) error) urfave.ActionFunc {
 	return func(ctx context.Context, cmd *urfave.Command) error {
-		a.acted = true
+		a.actionStarted = true
 		return act(ctx, cmd)
 	}
 }
 
-// usageError says that flags or operands are wrong.
+// usageError reports invalid flags or operands.
 type usageError struct{ text string }
 
-// Error returns what is wrong.
+// Error returns the description of the error.
 func (e *usageError) Error() string { return e.text }
 
 func usagef(format string, args ...any) error {
 	return &usageError{text: fmt.Sprintf(format, args...)}
 }
 
-// exitError carries an exit code with an error.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	text string
 }
 
-// Error returns what stopped the command.
+// Error returns the description of the error.
 func (e *exitError) Error() string { return e.text }
 
 func (a *App) exitCode(err error) int {
@@ -164,12 +169,12 @@
 		entry *operator.Error
 	)
 	switch {
-	case !a.acted, errors.As(err, &usage):
+	case !a.actionStarted, errors.As(err, &usage):
 		return ExitUsage
 	case errors.As(err, &exit):
 		return exit.code
 	case errors.As(err, &entry):
-		return entryExit(entry.Code)
+		return entryExitCode(entry.Code)
 	case errors.As(err, &file):
 		return ExitUsage
 	default:
@@ -177,7 +182,7 @@
 	}
 }
 
-func entryExit(code result.Code) int {
+func entryExitCode(code result.Code) int {
 	switch code {
 	case result.OperatorUnknown, result.OperatorRole:
 		return ExitNotAllowed
@@ -194,8 +199,8 @@
 	}
 }
 
-// show writes a result in the chosen form.
-func (a *App) show(v table) error {
+// show writes a result in the chosen output format.
+func (a *App) show(v textResult) error {
 	if a.output == outputText {
 		return eris.Wrap(v.text(a.Stdout), "write result")
 	}
@@ -204,7 +209,7 @@
 	return eris.Wrap(encoder.Encode(v), "write result")
 }
 
-// progressf writes progress.
+// progressf writes a line of progress to the standard error.
 func (a *App) progressf(format string, args ...any) {
 	fmt.Fprintf(a.Stderr, format+"\n", args...)
 }
--- a/internal/cli/app_test.go
+++ b/internal/cli/app_test.go
@@ -12,14 +12,14 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-func TestEveryCommandHasExamples(t *testing.T) {
+func TestEveryCommandHasUsageAndExamples(t *testing.T) {
 	a := App{}
 	var visit func(path string, c *urfave.Command)
 	visit = func(path string, c *urfave.Command) {
 		is := is.New(t)
 		path += c.Name
 		if !strings.Contains(c.Description, "Examples:\n   shallotpier ") || c.Usage == "" {
-			t.Errorf("%s lacks usage or examples", path)
+			t.Errorf("%s has no usage or no examples", path)
 		}
 		is.True(c.Action != nil || len(c.Commands) > 0)
 		for _, sub := range c.Commands {
@@ -35,22 +35,22 @@
 	is.NoErr(err)
 	a := App{}
 	for _, c := range a.commands() {
-		is.True(strings.Contains(string(page), "`"+c.Name+"`")) // the command is on the page
+		is.True(strings.Contains(string(page), "`"+c.Name+"`")) // the page lists the command
 	}
 	for code := ExitDone; code <= ExitPromiseBroken; code++ {
-		is.True(strings.Contains(string(page), fmt.Sprintf("\n| %d | ", code))) // the exit code is on the page
+		is.True(strings.Contains(string(page), fmt.Sprintf("\n| %d | ", code))) // the page lists the exit code
 	}
 }
 
-func TestHelpOfEachCommand(t *testing.T) {
+func TestHelpOfEachCommandSucceeds(t *testing.T) {
 	for _, c := range (&App{}).commands() {
 		t.Run(c.Name, func(t *testing.T) {
 			is := is.New(t)
-			var out, problems bytes.Buffer
-			app := App{Stdout: &out, Stderr: &problems}
+			var stdout, stderr bytes.Buffer
+			app := App{Stdout: &stdout, Stderr: &stderr}
 			is.Equal(app.Run(context.Background(), []string{"shallotpier", c.Name, "--help"}), ExitDone)
-			is.True(strings.Contains(out.String(), "Examples:"))
-			is.Equal(problems.String(), "")
+			is.True(strings.Contains(stdout.String(), "Examples:"))
+			is.Equal(stderr.String(), "")
 		})
 	}
 }
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -26,7 +26,7 @@
 func (a *App) benchCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "bench",
-		Usage:       "measure look-ups or requests on loopback, open loop",
+		Usage:       "run benchmarks of lookups, requests, the roles of a node and server selection policies",
 		Description: "Examples:\n   shallotpier bench lookup --target 127.0.0.1:21001 --service registry\n   shallotpier bench request --url http://127.0.0.1:21001/s/registry/findings/4 --against http://127.0.0.1:21101/findings/4",
 		Commands:    []*urfave.Command{a.benchLookupCommand(), a.benchRequestCommand(), a.benchSlopesCommand(), a.benchPoliciesCommand()},
 	}
@@ -35,11 +35,11 @@
 func (a *App) benchLookupCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "lookup",
-		Usage:       "measure look-ups at an entry",
+		Usage:       "measure the latency of lookups at an entry, open loop",
 		Description: "Examples:\n   shallotpier bench lookup --target 127.0.0.1:21001 --service registry --rate 2000\n   shallotpier bench lookup --target 127.0.0.1:21001 --against 127.0.0.1:23001 --service registry",
 		Flags: benchFlags(
-			&urfave.StringFlag{Name: "target", Required: true, Usage: "callers' `ADDRESS` of an entry"},
-			&urfave.StringFlag{Name: "against", Usage: "callers' `ADDRESS` of an entry to compare with"},
+			&urfave.StringFlag{Name: "target", Required: true, Usage: "`ADDRESS` of an entry's listener for callers"},
+			&urfave.StringFlag{Name: "against", Usage: "`ADDRESS` of another entry's listener for callers, to compare with"},
 			&urfave.StringFlag{Name: "service", Required: true, Usage: "`SERVICE` to look up"},
 		),
 		Action: a.action(func(ctx context.Context, cmd *urfave.Command) error {
@@ -57,10 +57,10 @@
 func (a *App) benchRequestCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "request",
-		Usage:       "measure GET requests to a URL, such as one through an entry against the same straight to a backend server",
+		Usage:       "measure the latency of GET requests to a URL, open loop, for example through an entry compared with directly to a backend server",
 		Description: "Examples:\n   shallotpier bench request --url http://127.0.0.1:21001/s/registry/findings/4 --seeds 1,2,3\n   shallotpier bench request --url http://127.0.0.1:21001/s/registry/findings/4 --against http://127.0.0.1:21101/findings/4",
 		Flags: benchFlags(
-			&urfave.StringFlag{Name: "url", Required: true, Usage: "`URL` to get"},
+			&urfave.StringFlag{Name: "url", Required: true, Usage: "`URL` to send GET requests to"},
 			&urfave.StringFlag{Name: "against", Usage: "`URL` to compare with"},
 		),
 		Action: a.action(func(ctx context.Context, cmd *urfave.Command) error {
@@ -75,11 +75,11 @@
 
 func benchFlags(more ...urfave.Flag) []urfave.Flag {
 	return append(more,
-		&urfave.FloatFlag{Name: "rate", Value: benchRate, Usage: "mean `REQUESTS` a second"},
-		&urfave.DurationFlag{Name: "duration", Value: benchDuration, Usage: "`TIME` of the load for each seed"},
-		&urfave.DurationFlag{Name: "warmup", Value: benchWarmup, Usage: "first `TIME` of it that isn't recorded"},
-		&urfave.StringFlag{Name: "seeds", Value: "1,2,3", Usage: "`SEEDS` of the schedules, with commas"},
-		&urfave.StringFlag{Name: "plot", Usage: "draw the percentiles to this svg, png or pdf `FILE`"},
+		&urfave.FloatFlag{Name: "rate", Value: benchRate, Usage: "mean number of `REQUESTS` per second"},
+		&urfave.DurationFlag{Name: "duration", Value: benchDuration, Usage: "`TIME` for which load is generated, for each seed"},
+		&urfave.DurationFlag{Name: "warmup", Value: benchWarmup, Usage: "initial `TIME` of the load that is not recorded"},
+		&urfave.StringFlag{Name: "seeds", Value: "1,2,3", Usage: "comma-separated `SEEDS` of the arrival schedules"},
+		&urfave.StringFlag{Name: "plot", Usage: "write a plot of the percentiles to this svg, png or pdf `FILE`"},
 	)
 }
 
@@ -119,7 +119,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		seed, err := strconv.ParseUint(strings.TrimSpace(part), 10, 64)
 		if err != nil {
-			return nil, usagef("seeds %q: want numbers with commas", text)
+			return nil, usagef("seeds %q: want comma-separated whole numbers, such as 1,2,3", text)
 		}
 		seeds = append(seeds, seed)
 	}
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	checked struct {
+	checkResult struct {
 		Files []checkedFile `json:"files"`
 	}
 
@@ -29,7 +29,7 @@
 	}
 )
 
-func (c *checked) text(w io.Writer) error {
+func (c *checkResult) text(w io.Writer) error {
 	for _, f := range c.Files {
 		fmt.Fprintf(w, "%s: service %s, %d classes, %d backend servers, %d slots: ok\n", f.Path, f.Service, f.Classes, f.Servers, f.Slots)
 	}
@@ -39,16 +39,16 @@
 func (a *App) checkCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "check",
-		Usage:       "check service files without a store",
+		Usage:       "validate service files, without an entry or a store",
 		ArgsUsage:   "FOLDER|FILE...",
-		Description: "Reads service.toml and *.service.toml below each folder and tells what is wrong with them.\n\nExamples:\n   shallotpier check .\n   shallotpier check --deployment deployment.toml registry/ vault/evidence.service.toml",
+		Description: "Reads service.toml and *.service.toml in each folder and its subfolders and reports the first error of each file.\n\nExamples:\n   shallotpier check .\n   shallotpier check --deployment deployment.toml registry/ vault/evidence.service.toml",
 		Flags:       []urfave.Flag{deploymentFlag()},
 		Action: a.action(func(_ context.Context, cmd *urfave.Command) error {
 			files, err := collectFiles(cmd)
 			if err != nil {
 				return err
 			}
-			var c checked
+			var c checkResult
 			for _, f := range files {
 				c.Files = append(c.Files, checkedFile{
 					Path: f.Path, Service: f.File.Service, Classes: len(f.File.Classes),
@@ -61,11 +61,11 @@
 }
 
 func deploymentFlag() urfave.Flag {
-	return &urfave.StringFlag{Name: "deployment", Usage: "check against the regions, zones and entries of this deployment `FILE`"}
+	return &urfave.StringFlag{Name: "deployment", Usage: "also validate against the regions, zones and entries of this deployment `FILE`"}
 }
 
-// collectFiles reads the operands' service files and, if a deployment is
-// given, checks their zones and regions against it.
+// collectFiles reads the service files named by the operands. If a deployment is
+// given, every zone and region in them must be part of it.
 func collectFiles(cmd *urfave.Command) ([]collect.Found, error) {
 	if cmd.Args().Len() == 0 {
 		return nil, usagef("name the folders or files to read")
@@ -74,19 +74,19 @@
 	if err != nil {
 		return nil, err
 	}
-	world, err := readDeployment(cmd.String("deployment"))
-	if err != nil || world == nil {
+	dep, err := readDeployment(cmd.String("deployment"))
+	if err != nil || dep == nil {
 		return files, err
 	}
 	for _, f := range files {
-		if err := checkPlaces(f, world); err != nil {
+		if err := checkLocations(f, dep); err != nil {
 			return nil, err
 		}
 	}
 	return files, nil
 }
 
-// readDeployment returns nil for an empty path.
+// readDeployment reads a deployment file; it returns nil if path is empty.
 func readDeployment(path string) (*deployment.Deployment, error) {
 	if path == "" {
 		return nil, nil
@@ -98,23 +98,23 @@
 	return deployment.Parse(path, data)
 }
 
-func checkPlaces(f collect.Found, world *deployment.Deployment) error {
+func checkLocations(f collect.Found, dep *deployment.Deployment) error {
 	problem := func(key string, item int, text string) error {
 		p := &service.FileError{Key: key, Item: item, Code: result.ImpossibleValue, Text: text}
 		return p.Locate(f.Path, f.Data)
 	}
 	regions := map[id.Region]bool{}
-	for _, r := range world.Regions {
+	for _, r := range dep.Regions {
 		regions[r.Name] = true
 	}
 	for i, r := range f.File.Regions {
 		if !regions[r.Name] {
-			return problem("regions.name", i, fmt.Sprintf("%q is not in deployment %s", r.Name, world.Name))
+			return problem("regions.name", i, fmt.Sprintf("%q is not in deployment %s", r.Name, dep.Name))
 		}
 	}
 	for i, s := range f.File.Servers {
-		if _, ok := world.Region(s.Zone); !ok {
-			return problem("servers.zone", i, fmt.Sprintf("%q of backend server %s is not in deployment %s", s.Zone, s.Name, world.Name))
+		if _, ok := dep.Region(s.Zone); !ok {
+			return problem("servers.zone", i, fmt.Sprintf("%q of backend server %s is not in deployment %s", s.Zone, s.Name, dep.Name))
 		}
 	}
 	return nil
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,8 +1,8 @@
-// Package cli is the command line for operators, shallotpier.
+// Package cli implements shallotpier, the command line for operators.
 //
-// An [App] runs one command and returns an exit code that scripts may rely on;
-// docs/operators/commands.md lists them. Results go to the standard output,
-// as text or as JSON; progress and problems go to the standard error.
+// An [App] runs one command and returns its exit code. The exit codes are stable
+// and listed in docs/operators/commands.md. Results are written to the standard
+// output, as text or JSON; progress and errors to the standard error.
 //
 // # Usage
 //
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	pollTime    = 500 * time.Millisecond
-	defaultWait = time.Hour
+	pollInterval = 500 * time.Millisecond
+	defaultWait  = time.Hour
 )
 
 type (
@@ -27,14 +27,14 @@
 func (a *App) drainCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "drain",
-		Usage:       "give a backend server or an instance no new work, and wait until it has none",
+		Usage:       "stop sending new work to a backend server or an instance, and wait until its running requests have ended",
 		ArgsUsage:   "SERVICE/SERVER|INSTANCE",
-		Description: "Interrupting the wait doesn't end the drain.\n\nExamples:\n   shallotpier drain registry/registry-7\n   shallotpier drain --wait 0s evidence/evidence-2\n   shallotpier drain entry-3",
+		Description: "The drain continues if the wait is interrupted or times out.\n\nExamples:\n   shallotpier drain registry/registry-7\n   shallotpier drain --wait 0s evidence/evidence-2\n   shallotpier drain entry-3",
 		Flags: entryFlags(
-			&urfave.DurationFlag{Name: "wait", Value: defaultWait, Usage: "longest `TIME` to wait; 0s doesn't wait"},
+			&urfave.DurationFlag{Name: "wait", Value: defaultWait, Usage: "maximum `TIME` to wait; 0s returns at once"},
 		),
-		Action: a.asking(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
-			t, err := target(cmd)
+		Action: a.withEntry(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
+			t, err := parseTarget(cmd)
 			if err != nil {
 				return err
 			}
@@ -52,23 +52,23 @@
 	}
 }
 
-// wait asks for the progress until the drain is done.
+// wait polls the progress until the drain is complete, or wait has elapsed.
 func (a *App) wait(ctx context.Context, c *operator.Client, p operator.Progress, wait time.Duration) (operator.Progress, error) {
 	t := p.Target
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	last := ""
 	for !p.Done {
-		if line := describe(p); line != last {
+		if line := formatProgress(p); line != last {
 			a.progressf("%s", line)
 			last = line
 		}
 		select {
 		case <-ctx.Done():
-			return p, operator.Errorf(result.WaitEnded, "waiting was interrupted, the drain goes on")
+			return p, operator.Errorf(result.WaitEnded, "the wait was interrupted; the drain continues")
 		case <-end.C:
-			return p, operator.Errorf(result.WaitEnded, "%s still has %d requests after %s, the drain goes on", t.String(), p.Running, wait)
-		case <-time.After(pollTime):
+			return p, operator.Errorf(result.WaitEnded, "%s still runs %d requests after %s; the drain continues", t.String(), p.Running, wait)
+		case <-time.After(pollInterval):
 		}
 		next, err := c.Progress(ctx, t)
 		if err != nil && ctx.Err() == nil {
@@ -84,12 +84,12 @@
 func (a *App) undrainCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "undrain",
-		Usage:       "give a backend server or an instance new work again",
+		Usage:       "end a drain: send new work to a backend server or an instance again",
 		ArgsUsage:   "SERVICE/SERVER|INSTANCE",
 		Description: "Examples:\n   shallotpier undrain registry/registry-7\n   shallotpier undrain entry-3",
 		Flags:       entryFlags(),
-		Action: a.asking(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
-			t, err := target(cmd)
+		Action: a.withEntry(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
+			t, err := parseTarget(cmd)
 			if err != nil {
 				return err
 			}
@@ -105,11 +105,11 @@
 func (a *App) quarantineCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "quarantine",
-		Usage:       "list requests that crashed backend servers, or lift a quarantine",
+		Usage:       "list the quarantines of requests that crashed backend servers, or lift one",
 		ArgsUsage:   "[ID]",
 		Description: "Examples:\n   shallotpier quarantine\n   shallotpier quarantine --lift 9f3c61",
-		Flags:       entryFlags(&urfave.StringFlag{Name: "lift", Usage: "end the quarantine `ID`"}),
-		Action: a.asking(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
+		Flags:       entryFlags(&urfave.StringFlag{Name: "lift", Usage: "lift the quarantine with this `ID`"}),
+		Action: a.withEntry(func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error {
 			if id := cmd.String("lift"); id != "" {
 				if err := c.Lift(ctx, id); err != nil {
 					return err
@@ -124,11 +124,12 @@
 	}
 }
 
-// target reads the operand: a slash tells a backend server from an instance.
-func target(cmd *urfave.Command) (operator.Target, error) {
+// parseTarget parses the operand, which is SERVICE/SERVER for a backend server and
+// a name without a slash for an instance.
+func parseTarget(cmd *urfave.Command) (operator.Target, error) {
 	var t operator.Target
 	if cmd.Args().Len() != 1 {
-		return t, usagef("name one backend server as SERVICE/SERVER, or one instance")
+		return t, usagef("want one operand: a backend server as SERVICE/SERVER, or an instance")
 	}
 	operand := cmd.Args().First()
 	service, server, isServer := strings.Cut(operand, "/")
@@ -147,7 +148,7 @@
 	return t, nil
 }
 
-func describe(p operator.Progress) string {
+func formatProgress(p operator.Progress) string {
 	switch {
 	case !p.Draining:
 		return fmt.Sprintf("%s takes new work", p.Target.String())
@@ -159,7 +160,7 @@
 }
 
 func (p *progress) text(w io.Writer) error {
-	_, err := fmt.Fprintln(w, describe(operator.Progress(*p)))
+	_, err := fmt.Fprintln(w, formatProgress(operator.Progress(*p)))
 	return err
 }
 
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -11,22 +11,22 @@
 	"github.com/shallotpier/shallotpier/internal/operator"
 )
 
-// entryFlags are the flags of commands that ask an entry.
+// entryFlags returns the flags of commands that connect to an entry, and more.
 func entryFlags(more ...urfave.Flag) []urfave.Flag {
 	return append([]urfave.Flag{
-		&urfave.StringFlag{Name: "entry", Usage: "operators' `ADDRESS` of an entry", Sources: urfave.EnvVars("SHALLOTPIER_ENTRY")},
-		&urfave.StringFlag{Name: "token-file", Usage: "`FILE` with the bearer token; without it the token is in SHALLOTPIER_TOKEN", TakesFile: true},
+		&urfave.StringFlag{Name: "entry", Usage: "`ADDRESS` of an entry's operator listener", Sources: urfave.EnvVars("SHALLOTPIER_ENTRY")},
+		&urfave.StringFlag{Name: "token-file", Usage: "`FILE` that contains the bearer token; without it the token is taken from SHALLOTPIER_TOKEN", TakesFile: true},
 	}, more...)
 }
 
-// client returns the client of the entry that the flags name.
-func client(cmd *urfave.Command) (*operator.Client, error) {
+// newClient returns a client for the entry given by the flags.
+func newClient(cmd *urfave.Command) (*operator.Client, error) {
 	if cmd.String("entry") == "" {
-		return nil, usagef("flag entry is missing, and SHALLOTPIER_ENTRY is not set")
+		return nil, usagef("the entry's address is missing: set --entry or SHALLOTPIER_ENTRY")
 	}
 	address, err := netip.ParseAddrPort(cmd.String("entry"))
 	if err != nil {
-		return nil, usagef("entry %q: want an address such as 10.0.1.1:7300", cmd.String("entry"))
+		return nil, usagef("entry %q: want an IP address and port, such as 10.0.1.1:7300", cmd.String("entry"))
 	}
 	token := os.Getenv("SHALLOTPIER_TOKEN")
 	if path := cmd.String("token-file"); path != "" {
@@ -39,10 +39,10 @@
 	return operator.NewClient(address, token), nil
 }
 
-// asking returns the action of a command that asks an entry.
-func (a *App) asking(act func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error) urfave.ActionFunc {
+// withEntry returns the action of a command that connects to an entry.
+func (a *App) withEntry(act func(ctx context.Context, cmd *urfave.Command, c *operator.Client) error) urfave.ActionFunc {
 	return a.action(func(ctx context.Context, cmd *urfave.Command) error {
-		c, err := client(cmd)
+		c, err := newClient(cmd)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -19,11 +19,12 @@
 	"github.com/shallotpier/shallotpier/internal/operator"
 )
 
-// askTime bounds a question to an entry on the platform.
-const askTime = 5 * time.Second
+// entryTimeout bounds a query to an entry on the platform.
+const entryTimeout = 5 * time.Second
 
 type (
-	// platformStatus is what several entries believe.
+	// platformStatus is the state of several entries and the differences between
+	// them.
 	platformStatus struct {
 		Entries     []*beliefs.Beliefs `json:"entries"`
 		Unreachable []string           `json:"unreachable,omitempty"`
@@ -33,30 +34,31 @@
 	platformExplanation beliefs.Explanation
 )
 
-// platformFlag names entries on the platform.
+// platformFlag returns the flag with the addresses of entries on the platform.
 func platformFlag() urfave.Flag {
-	return &urfave.StringFlag{Name: "platform", Usage: "metrics `ADDRESSES` of entries on the platform, with commas"}
+	return &urfave.StringFlag{Name: "platform", Usage: "comma-separated `ADDRESSES` of the metrics listeners of entries on the platform"}
 }
 
-// platformOr returns the action of a command that asks entries on the platform, or
-// reads a log, if the flags say so, and one with the own interface otherwise.
-func (a *App) platformOr(platform urfave.ActionFunc, own func(context.Context, *urfave.Command, *operator.Client) error) urfave.ActionFunc {
-	asking := a.asking(own)
+// platformOrEntry returns the action of a command that runs platform if the flag
+// platform or log is set, and otherwise connects to an entry's operator listener
+// and runs act.
+func (a *App) platformOrEntry(platform urfave.ActionFunc, act func(context.Context, *urfave.Command, *operator.Client) error) urfave.ActionFunc {
+	entry := a.withEntry(act)
 	return func(ctx context.Context, cmd *urfave.Command) error {
 		if cmd.String("platform") == "" && cmd.String("log") == "" {
-			return asking(ctx, cmd)
+			return entry(ctx, cmd)
 		}
 		return a.action(platform)(ctx, cmd)
 	}
 }
 
-// addresses returns the entries that the flags name.
-func addresses(cmd *urfave.Command) ([]string, error) {
+// platformAddresses returns the addresses in the flag platform.
+func platformAddresses(cmd *urfave.Command) ([]string, error) {
 	var out []string
 	for text := range strings.SplitSeq(cmd.String("platform"), ",") {
 		address, err := netip.ParseAddrPort(strings.TrimSpace(text))
 		if err != nil {
-			return nil, usagef("platform %q: want addresses such as 10.1.0.10:9640", text)
+			return nil, usagef("platform %q: want comma-separated IP addresses with ports, such as 10.1.0.10:9640", text)
 		}
 		out = append(out, address.String())
 	}
@@ -64,12 +66,12 @@
 }
 
 func (a *App) platformStatus(ctx context.Context, cmd *urfave.Command) error {
-	all, err := addresses(cmd)
+	all, err := platformAddresses(cmd)
 	if err != nil {
 		return err
 	}
 	s := &platformStatus{}
-	client := &http.Client{Timeout: askTime}
+	client := &http.Client{Timeout: entryTimeout}
 	for _, address := range all {
 		b, err := beliefs.Fetch(ctx, client, address)
 		if err != nil {
@@ -94,14 +96,14 @@
 	if path := cmd.String("log"); path != "" {
 		return a.explainLog(path, cmd.String("request"))
 	}
-	all, err := addresses(cmd)
+	all, err := platformAddresses(cmd)
 	if err != nil {
 		return err
 	}
 	if len(all) != 1 || cmd.String("host") == "" {
-		return usagef("name one entry and the request's host")
+		return usagef("want exactly one address in --platform, and the request's host in --host")
 	}
-	e, err := beliefs.Explain(ctx, &http.Client{Timeout: askTime}, all[0], cmd.String("host"), cmd.String("path"), cmd.String("object"))
+	e, err := beliefs.Explain(ctx, &http.Client{Timeout: entryTimeout}, all[0], cmd.String("host"), cmd.String("path"), cmd.String("object"))
 	if err != nil {
 		return &exitError{code: ExitUnreachable, text: err.Error()}
 	}
@@ -110,7 +112,7 @@
 
 func (a *App) explainLog(path, request string) error {
 	if request == "" {
-		return usagef("name the request's id")
+		return usagef("want the request's ID in --request")
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -121,12 +123,12 @@
 	if err != nil {
 		return eris.Wrapf(err, "log %q", path)
 	}
-	return a.show((*story)(s))
+	return a.show((*requestTrace)(s))
 }
 
-type story logread.Story
+type requestTrace logread.Story
 
-func (s *story) text(w io.Writer) error { return (*logread.Story)(s).WriteText(w) }
+func (s *requestTrace) text(w io.Writer) error { return (*logread.Story)(s).WriteText(w) }
 
 func (s *platformStatus) text(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0)
--- a/internal/cli/policies.go
+++ b/internal/cli/policies.go
@@ -12,7 +12,8 @@
 	"github.com/shallotpier/shallotpier/internal/model"
 )
 
-// maxPolicySeeds bounds the seeds of a comparison, which run together.
+// maxPolicySeeds is the maximum number of seeds of a comparison, which run
+// concurrently.
 const maxPolicySeeds = 20
 
 type comparisons []*model.Comparison
@@ -30,14 +31,14 @@
 	names := strings.Join(slices.Sorted(maps.Keys(model.Policies())), ", ")
 	return &urfave.Command{
 		Name:        "policies",
-		Usage:       "compare two policies of choosing backend servers on a model, on the same arrivals",
+		Usage:       "compare two server selection policies in a simulation with the same arrivals",
 		Description: "Policies: " + names + ".\n\nExamples:\n   shallotpier bench policies\n   shallotpier bench policies --against spill --pattern 'third of the servers' --plot credit.svg",
 		Flags: []urfave.Flag{
 			&urfave.StringFlag{Name: "policy", Value: "owners", Usage: "`POLICY` to compare"},
 			&urfave.StringFlag{Name: "against", Value: "untimed", Usage: "`POLICY` to compare with"},
-			&urfave.StringFlag{Name: "pattern", Usage: "only load patterns with this `TEXT` in their names"},
-			&urfave.StringFlag{Name: "seeds", Value: "0,1", Usage: "`SEEDS` of the arrivals, with commas"},
-			&urfave.StringFlag{Name: "plot", Usage: "draw the credit of the first seed over the time to this svg, png or pdf `FILE`; for one pattern"},
+			&urfave.StringFlag{Name: "pattern", Usage: "run only load patterns whose names contain `TEXT`"},
+			&urfave.StringFlag{Name: "seeds", Value: "0,1", Usage: "comma-separated `SEEDS` of the arrivals"},
+			&urfave.StringFlag{Name: "plot", Usage: "write a plot of the credit over time, for the first seed, to this svg, png or pdf `FILE`; needs exactly one pattern"},
 		},
 		Action: a.action(a.benchPolicies),
 	}
@@ -49,21 +50,21 @@
 		return err
 	}
 	if len(seeds) > maxPolicySeeds {
-		return usagef("%d seeds, at most %d", len(seeds), maxPolicySeeds)
+		return usagef("seeds: got %d, want at most %d", len(seeds), maxPolicySeeds)
 	}
 	names := [2]string{cmd.String("policy"), cmd.String("against")}
 	for _, name := range names {
 		if model.Policies()[name] == nil {
-			return usagef("policy %q is not known", name)
+			return usagef("policy %q is not known; the command's --help lists the policies", name)
 		}
 	}
 	patterns := slices.DeleteFunc(model.Patterns(), func(p model.Pattern) bool { return !strings.Contains(p.Name, cmd.String("pattern")) })
 	plot := cmd.String("plot")
 	switch {
 	case len(patterns) == 0:
-		return usagef("no load pattern is named like %q", cmd.String("pattern"))
+		return usagef("no load pattern has a name that contains %q", cmd.String("pattern"))
 	case plot != "" && len(patterns) > 1:
-		return usagef("%d load patterns match; a plot needs one", len(patterns))
+		return usagef("%d load patterns match; --plot needs exactly one", len(patterns))
 	}
 	var all comparisons
 	for i := range patterns {
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -20,12 +20,12 @@
 const publishWait = 30 * time.Second
 
 type (
-	published struct {
+	publishResult struct {
 		Ticket     string             `json:"ticket,omitempty"`
 		Difference publish.Difference `json:"difference"`
 		Outcome    *publish.Outcome   `json:"outcome,omitempty"`
 
-		all bool
+		allKeys bool
 	}
 
 	versions []versionRow
@@ -44,20 +44,20 @@
 func (a *App) publishCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "publish",
-		Usage:     "collect service files, show what they change, and submit them",
+		Usage:     "publish service files: show the changes and submit them",
 		ArgsUsage: "FOLDER|FILE...",
-		Description: "Files replace those of the same service; other services stay as they are. The ticket that is shown can be asked about with --find, " +
-			"also if this command is interrupted.\n\nExamples:\n   shallotpier publish --store 10.0.0.1:7000 --deployment deployment.toml services/\n" +
+		Description: "Each file replaces the published file of the same service; other services stay unchanged. The command prints a ticket, with which " +
+			"--find shows the outcome later, also after an interruption.\n\nExamples:\n   shallotpier publish --store 10.0.0.1:7000 --deployment deployment.toml services/\n" +
 			"   shallotpier publish --store 10.0.0.1:7000 --dry-run services/\n   shallotpier publish --store 10.0.0.1:7000 --find 7/9f3c61",
 		Flags: []urfave.Flag{
 			storeFlag(), deploymentFlag(),
-			&urfave.StringFlag{Name: "author", Usage: "`NAME` of who publishes", Sources: urfave.EnvVars("USER")},
-			&urfave.StringSliceFlag{Name: "remove", Usage: "remove this `SERVICE`; may be given again"},
-			&urfave.Uint64Flag{Name: "base", Usage: "`VERSION` that the change was made on; another one in force refuses it"},
-			&urfave.BoolFlag{Name: "all", Usage: "show every key of services that are new or gone"},
-			&urfave.BoolFlag{Name: "dry-run", Usage: "show the difference and submit nothing"},
-			&urfave.StringFlag{Name: "find", Usage: "tell what became of the submission with this `TICKET`"},
-			&urfave.DurationFlag{Name: "wait", Value: publishWait, Usage: "longest `TIME` to try for a certain outcome"},
+			&urfave.StringFlag{Name: "author", Usage: "`NAME` of the publisher", Sources: urfave.EnvVars("USER")},
+			&urfave.StringSliceFlag{Name: "remove", Usage: "remove this `SERVICE`; may be repeated"},
+			&urfave.Uint64Flag{Name: "base", Usage: "`VERSION` that the change is based on; if another version is active, the submission is rejected"},
+			&urfave.BoolFlag{Name: "all", Usage: "show all keys of added and removed services"},
+			&urfave.BoolFlag{Name: "dry-run", Usage: "show the changes and submit nothing"},
+			&urfave.StringFlag{Name: "find", Usage: "show the outcome of the submission with this `TICKET`"},
+			&urfave.DurationFlag{Name: "wait", Value: publishWait, Usage: "maximum `TIME` to wait for a definite outcome"},
 		},
 		Action: a.action(a.publish),
 	}
@@ -67,16 +67,16 @@
 	return &urfave.StringFlag{Name: "store", Required: true, Usage: "`ADDRESS` of the platform's store", Sources: urfave.EnvVars("SHALLOTPIER_STORE")}
 }
 
-func publisher(cmd *urfave.Command) (*publish.Publisher, error) {
+func newPublisher(cmd *urfave.Command) (*publish.Publisher, error) {
 	address, err := netip.ParseAddrPort(cmd.String("store"))
 	if err != nil {
-		return nil, usagef("store %q: want an address such as 10.0.0.1:7000", cmd.String("store"))
+		return nil, usagef("store %q: want an IP address and port, such as 10.0.0.1:7000", cmd.String("store"))
 	}
 	return &publish.Publisher{Store: &httpstore.Client{Base: "http://" + address.String()}, Author: cmd.String("author")}, nil
 }
 
 func (a *App) publish(ctx context.Context, cmd *urfave.Command) error {
-	p, err := publisher(cmd)
+	p, err := newPublisher(cmd)
 	if err != nil {
 		return err
 	}
@@ -87,35 +87,35 @@
 		if err := t.UnmarshalText([]byte(text)); err != nil {
 			return usagef("%s", err)
 		}
-		return a.outcome(&published{Ticket: text, Outcome: p.Find(ctx, t)})
+		return a.showOutcome(&publishResult{Ticket: text, Outcome: p.Find(ctx, t)})
 	}
-	s, err := submission(cmd, p)
+	s, err := newSubmission(cmd, p)
 	if err != nil {
 		return err
 	}
 	draft, refused := p.Prepare(ctx, s)
 	if refused != nil {
-		return a.outcome(&published{Outcome: refused})
+		return a.showOutcome(&publishResult{Outcome: refused})
 	}
-	out := &published{Ticket: draft.Ticket.String(), Difference: draft.Difference, all: cmd.Bool("all")}
+	out := &publishResult{Ticket: draft.Ticket.String(), Difference: draft.Difference, allKeys: cmd.Bool("all")}
 	a.progressf("ticket %s, %d changes", out.Ticket, len(out.Difference))
 	if cmd.Bool("dry-run") || len(out.Difference) == 0 {
 		return a.show(out)
 	}
 	out.Outcome = p.Submit(ctx, draft)
-	return a.outcome(out)
+	return a.showOutcome(out)
 }
 
-// submission reads the operands, and sets the publisher's rules by the
-// deployment.
-func submission(cmd *urfave.Command, p *publish.Publisher) (publish.Submission, error) {
+// newSubmission reads the files named by the operands, and sets the publisher's
+// rules from the deployment.
+func newSubmission(cmd *urfave.Command, p *publish.Publisher) (publish.Submission, error) {
 	s := publish.Submission{Base: id.Version(cmd.Uint64("base"))}
 	for _, name := range cmd.StringSlice("remove") {
-		var one id.Service
-		if err := one.UnmarshalText([]byte(name)); err != nil {
+		var removed id.Service
+		if err := removed.UnmarshalText([]byte(name)); err != nil {
 			return s, usagef("remove: %s", err)
 		}
-		s.Remove = append(s.Remove, one)
+		s.Remove = append(s.Remove, removed)
 	}
 	if len(s.Remove) == 0 || cmd.Args().Len() > 0 {
 		files, err := collectFiles(cmd)
@@ -126,16 +126,16 @@
 			s.Files = append(s.Files, *f.File)
 		}
 	}
-	world, err := readDeployment(cmd.String("deployment"))
-	if world != nil {
-		p.Rules = publish.Rules{Region: world.Region, Entries: len(world.Entries)}
+	dep, err := readDeployment(cmd.String("deployment"))
+	if dep != nil {
+		p.Rules = publish.Rules{Region: dep.Region, Entries: len(dep.Entries)}
 	}
 	return s, err
 }
 
-// outcome shows what became of a submission and returns the error that carries
-// its exit code.
-func (a *App) outcome(p *published) error {
+// showOutcome writes the outcome of a submission and returns an error with its
+// exit code; nil if the submission was accepted.
+func (a *App) showOutcome(p *publishResult) error {
 	if err := a.show(p); err != nil {
 		return err
 	}
@@ -156,19 +156,19 @@
 func (a *App) historyCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "history",
-		Usage:       "list the published versions, or show what one of them changed",
+		Usage:       "list the published versions, or show the changes of one of them",
 		Description: "Examples:\n   shallotpier history --store 10.0.0.1:7000\n   shallotpier history --store 10.0.0.1:7000 --version 7",
 		Flags: []urfave.Flag{
 			storeFlag(),
-			&urfave.Uint64Flag{Name: "version", Usage: "show what this `VERSION` changed in the one before"},
-			&urfave.DurationFlag{Name: "wait", Value: publishWait, Usage: "longest `TIME` to wait for the store"},
+			&urfave.Uint64Flag{Name: "version", Usage: "show the changes from the previous version to this `VERSION`"},
+			&urfave.DurationFlag{Name: "wait", Value: publishWait, Usage: "maximum `TIME` to wait for the store"},
 		},
 		Action: a.action(a.history),
 	}
 }
 
 func (a *App) history(ctx context.Context, cmd *urfave.Command) error {
-	p, err := publisher(cmd)
+	p, err := newPublisher(cmd)
 	if err != nil {
 		return err
 	}
@@ -195,9 +195,9 @@
 	return a.show(&rows)
 }
 
-func (p *published) text(w io.Writer) error {
+func (p *publishResult) text(w io.Writer) error {
 	difference := p.Difference.Summary()
-	if p.all {
+	if p.allKeys {
 		difference = p.Difference.String()
 	}
 	if _, err := fmt.Fprint(w, difference); err != nil {
@@ -208,7 +208,7 @@
 		fmt.Fprintln(w, p.Outcome)
 		fmt.Fprint(w, p.Outcome.Difference.String())
 	case len(p.Difference) == 0:
-		fmt.Fprintln(w, "nothing differs from the version in force; nothing was submitted")
+		fmt.Fprintln(w, "nothing differs from the active version; nothing was submitted")
 	default:
 		fmt.Fprintln(w, "dry run; nothing was submitted")
 	}
--- a/internal/cli/slopes.go
+++ b/internal/cli/slopes.go
@@ -11,14 +11,15 @@
 	"github.com/shallotpier/shallotpier/internal/capacity"
 )
 
-// slopes is what the measures of a node's roles gave.
-type slopes struct {
+// slopesResult contains the measured costs of a node's roles.
+type slopesResult struct {
 	Results []capacity.Result `json:"results"`
-	// Sums is empty if only some roles were measured.
+	// Sums contains the totals over all roles; it is empty if only some roles
+	// were measured.
 	Sums []capacity.Sum `json:"sums,omitempty"`
 }
 
-func (s *slopes) text(w io.Writer) error {
+func (s *slopesResult) text(w io.Writer) error {
 	capacity.Header(w)
 	for _, r := range s.Results {
 		r.Print(w)
@@ -33,13 +34,13 @@
 func (a *App) benchSlopesCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:        "slopes",
-		Usage:       "measure what each role of a node costs at several sizes, and extend the lines to the target's size",
+		Usage:       "measure the cost of each role of a node at several sizes, and extrapolate it to the target size",
 		Description: "Examples:\n   shallotpier bench slopes\n   shallotpier --output json bench slopes --role membership",
 		Flags: []urfave.Flag{
-			&urfave.StringFlag{Name: "role", Usage: "measure only roles whose name holds `TEXT`"},
+			&urfave.StringFlag{Name: "role", Usage: "measure only roles whose names contain `TEXT`"},
 		},
 		Action: a.action(func(ctx context.Context, cmd *urfave.Command) error {
-			var out slopes
+			var out slopesResult
 			for _, m := range capacity.Measures() {
 				if !strings.Contains(m.Role, cmd.String("role")) {
 					continue
@@ -55,7 +56,7 @@
 				out.Results = append(out.Results, r)
 			}
 			if len(out.Results) == 0 {
-				return usagef("no role's name holds %q", cmd.String("role"))
+				return usagef("no role has a name that contains %q", cmd.String("role"))
 			}
 			if cmd.String("role") == "" {
 				sums, err := capacity.Sums(out.Results)
--- a/internal/cli/trial.go
+++ b/internal/cli/trial.go
@@ -18,14 +18,14 @@
 func (a *App) trialCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:  "trial",
-		Usage: "run a whole deployment in this process and hold it against the promises",
-		Description: "Starts all entries, the platform and the backend servers on loopback with the deployment's one-way delays, carries load, " +
-			"drains a backend server and stops an entry under way.\n\nExamples:\n   shallotpier trial\n   shallotpier trial --deployment dansk --seed 7 --json",
+		Usage: "run a whole deployment in this process and check the guarantees",
+		Description: "Starts all entries, the platform and the backend servers on loopback with the deployment's one-way delays, generates load, " +
+			"and drains a backend server and stops an entry during the run.\n\nExamples:\n   shallotpier trial\n   shallotpier trial --deployment dansk --seed 7 --json",
 		Flags: []urfave.Flag{
-			&urfave.StringFlag{Name: "deployment", Value: "beridze", Usage: "`NAME` of a folder in examples, or the path of one"},
-			&urfave.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the run's choices"},
+			&urfave.StringFlag{Name: "deployment", Value: "beridze", Usage: "`NAME` of a folder in examples, or the path of another folder"},
+			&urfave.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the random choices"},
 			&urfave.BoolFlag{Name: "json", Usage: "write the report as JSON, like --output json"},
-			&urfave.BoolFlag{Name: "log", Usage: "write the entries' log lines to the standard error"},
+			&urfave.BoolFlag{Name: "log", Usage: "write the entries' logs to the standard error"},
 		},
 		Action: a.action(func(ctx context.Context, cmd *urfave.Command) error {
 			if cmd.Bool("json") {
@@ -56,7 +56,7 @@
 		return err
 	}
 	if r.Broken() {
-		return &exitError{code: ExitPromiseBroken, text: "a promise was broken"}
+		return &exitError{code: ExitPromiseBroken, text: "the trial found a violated guarantee"}
 	}
 	return nil
 }
