--- a/cmd/shallotpier/main.go
+++ b/cmd/shallotpier/main.go
@@ -13,7 +13,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	// go-zero installs handlers of its own when it is imported.
+	// go-zero installs its own signal handlers when it is imported.
 	signal.Reset(syscall.SIGTERM, syscall.SIGINT)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
