--- a/pkg/caller/do.go
+++ b/pkg/caller/do.go
@@ -26,7 +26,8 @@
 // Do sends a request and returns the answer of the backend server. Up to
 // Attempts sends in all, it retries at the next entry: a GET or HEAD whose
 // outcome is unknown, and any request that did not reach an entry or was refused
-// because the entry is leaving or not ready. The error is an *Error.
+// because the entry is leaving or not ready. The error is an *Error; its Ran is No
+// only if no send may have run.
 func (c *Client) Do(ctx context.Context, req *Request) (*Answer, error) {
 	ctx, cancel := c.withTimeout(ctx)
 	entries, err := c.entries(ctx, req.Service)
