--- a/internal/model/comparison.go
+++ b/internal/model/comparison.go
@@ -17,7 +17,7 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	// plotStep is the time of one point of a plot.
+	// plotStep is the period that one point of a plot covers.
 	plotStep = 500 * time.Millisecond
 	tabSpace = 2
 	median   = 0.5
@@ -25,45 +25,46 @@
 )
 
 type (
-	// Comparison is how two policies met the same arrivals.
+	// Comparison holds the results of two policies on the same arrivals.
 	Comparison struct {
 		// Pattern is the load pattern's name.
 		Pattern string `json:"pattern"`
-		// Names are those of the two policies.
+		// Names are the names of the two policies.
 		Names [2]string `json:"names"`
-		// Seeds holds what each seed gave.
+		// Seeds holds the results for each seed.
 		Seeds []SeedResult `json:"seeds"`
 
 		reports [][2]*Report
 	}
 
-	// SeedResult is what both policies gave for a seed.
+	// SeedResult holds the results of both policies for one seed.
 	SeedResult struct {
-		// Seed is the seed.
+		// Seed is the seed of the simulation.
 		Seed uint64 `json:"seed"`
-		// Results are those of the two policies.
+		// Results are the results of the two policies, in the order of Names.
 		Results [2]Result `json:"results"`
 	}
 
-	// Result is what callers got in the pattern's span.
+	// Result summarises the requests that arrived in the pattern's period.
 	Result struct {
-		// Credit is the earned part of the credit, 0 to 1.
+		// Credit is the mean credit, 0 to 1.
 		Credit float64 `json:"credit"`
-		// Unserved is the part of the requests that were refused or failed.
+		// Unserved is the fraction of requests that were rejected or failed.
 		Unserved float64 `json:"unserved"`
-		// P50 and P99 are latencies of answered requests.
+		// P50 and P99 are latencies of served requests, in nanoseconds in JSON.
 		P50 time.Duration `json:"p50"`
 		P99 time.Duration `json:"p99"`
 	}
 )
 
-// Compare runs two policies on the same arrivals, for each seed.
+// Compare simulates two policies on the same arrivals, once for each seed. It
+// returns an error if a policy is unknown.
 func Compare(p *Pattern, names [2]string, seeds []uint64) (*Comparison, error) {
 	c := &Comparison{Pattern: p.Name, Names: names, Seeds: make([]SeedResult, len(seeds)), reports: make([][2]*Report, len(seeds))}
 	known := Policies()
 	for _, name := range names {
 		if known[name] == nil {
-			return nil, eris.Errorf("policy %q is not known", name)
+			return nil, eris.Errorf("unknown policy %q", name)
 		}
 	}
 	var all sync.WaitGroup
@@ -86,7 +87,7 @@
 	return c, nil
 }
 
-// Means returns the mean credit of both policies.
+// Means returns the credit of both policies, averaged over the seeds.
 func (c *Comparison) Means() [2]float64 {
 	var out [2]float64
 	for _, s := range c.Seeds {
@@ -97,7 +98,7 @@
 	return out
 }
 
-// WriteText writes the comparison for people.
+// WriteText writes the comparison as a text table.
 func (c *Comparison) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, tabSpace, ' ', 0)
 	fmt.Fprintf(t, "%s\n", c.Pattern)
@@ -112,8 +113,8 @@
 	return t.Flush()
 }
 
-// Plot draws the credit over the time, of the first seed, to a file whose ending
-// tells the form: svg, png or pdf.
+// Plot draws the credit over time for the first seed. The extension of the file
+// selects the format: svg, png or pdf.
 func (c *Comparison) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = c.Pattern
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -15,14 +15,14 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Share and allowance of resends, over all entries.
+// Retry budget, over all entries.
 const (
-	resendShare     = 0.2
-	resendAllowance = 60.0
+	retryShare     = 0.2
+	retryAllowance = 60.0
 )
 
 type (
-	// entry is one entry instance.
+	// entry is a simulated entry instance.
 	entry struct {
 		model     *Model
 		region    int
@@ -32,17 +32,18 @@
 		baselines map[service.Kind]*outlier.Baseline
 	}
 
-	// request is one request of a caller, with its return after a refusal.
+	// request is a request of a caller, including the caller's retry after a
+	// rejection.
 	request struct {
-		class   *Class
-		route   *route.Route
-		object  string
-		asked   time.Time
-		began   time.Time // this try of the caller
-		returns int
-		sends   int
-		tried   []id.Server
-		done    bool
+		class        *Class
+		route        *route.Route
+		object       string
+		arrived      time.Time
+		attemptStart time.Time // start of the caller's current attempt
+		retriesLeft  int
+		sends        int
+		tried        []id.Server
+		done         bool
 	}
 )
 
@@ -57,29 +58,30 @@
 	return e
 }
 
-func (r *request) deadline() time.Time { return r.asked.Add(r.class.Deadline) }
+func (r *request) deadline() time.Time { return r.arrived.Add(r.class.Deadline) }
 
-// limit is when the entry gives up this try of the caller.
-func (r *request) limit() time.Time {
-	if at := r.began.Add(r.class.Timeout); r.class.Timeout > 0 && at.Before(r.deadline()) {
+// timeoutAt returns the time at which the entry cancels the caller's current
+// attempt.
+func (r *request) timeoutAt() time.Time {
+	if at := r.attemptStart.Add(r.class.Timeout); r.class.Timeout > 0 && at.Before(r.deadline()) {
 		return at
 	}
 	return r.deadline()
 }
 
-// take sends a request, or refuses it.
-func (e *entry) take(r *request) {
+// send sends a request to the server that the policy selects, or rejects it.
+func (e *entry) send(r *request) {
 	now := e.model.now
 	if !now.Before(r.deadline()) {
-		e.model.done(r, 0)
+		e.model.complete(r, 0)
 		return
 	}
 	m := e.policy.Choose(now, &dispatch.Request{
 		Service: serviceName, Route: r.route, Key: owner.Key(serviceName, r.object), Tried: r.tried,
-		Left: r.limit().Sub(now), Draw: e.model.draws.Float64(),
+		Left: r.timeoutAt().Sub(now), Draw: e.model.policyRNG.Float64(),
 	}).Server
 	if m == nil {
-		e.refuse(r)
+		e.reject(r)
 		return
 	}
 	if r.sends++; r.sends == 1 {
@@ -87,18 +89,18 @@
 	}
 	r.tried = append(r.tried, m.Name)
 	s := e.model.servers.byName[m.Name]
-	delay := nearDelay
+	delay := intraRegionDelay
 	if s.region != e.region {
 		delay = e.model.Delay
 	}
-	sent, over := now, false
+	sent, ended := now, false
 	var cancel func()
 	e.model.after(delay, func() {
-		cancel = s.take(r, func(refused bool) {
+		cancel = s.accept(r, func(rejected bool) {
 			e.model.after(delay, func() {
-				if !over {
-					over = true
-					e.answered(r, m, s.load(), refused, sent)
+				if !ended {
+					ended = true
+					e.handleResponse(r, m, s.load(), rejected, sent)
 				}
 			})
 		})
@@ -106,31 +108,32 @@
 	if r.class.Timeout == 0 {
 		return
 	}
-	e.model.after(r.limit().Sub(now), func() {
-		if over {
+	e.model.after(r.timeoutAt().Sub(now), func() {
+		if ended {
 			return
 		}
-		over = true
+		ended = true
 		e.model.after(delay, func() { cancel() })
 		m.End(e.model.now, roster.Outcome{Event: health.Silent, Latency: e.model.now.Sub(sent)})
-		e.late(r)
+		e.timedOut(r)
 	})
 }
 
-// late ends a try at the route's time. A read's caller comes back once.
-func (e *entry) late(r *request) {
+// timedOut ends an attempt at the timeout of the route. The caller of a safe
+// request retries once.
+func (e *entry) timedOut(r *request) {
 	if r.class.Kind.Safe() {
-		e.refuse(r)
+		e.reject(r)
 		return
 	}
-	e.model.done(r, 0)
+	e.model.complete(r, 0)
 }
 
-// answered takes in a server's answer.
-func (e *entry) answered(r *request, m *roster.Member, load roster.Load, refused bool, sent time.Time) {
+// handleResponse processes the response of a server.
+func (e *entry) handleResponse(r *request, m *roster.Member, load roster.Load, rejected bool, sent time.Time) {
 	now := e.model.now
-	o := roster.Outcome{Event: health.Answered, Failed: refused, Load: &load}
-	if !refused {
+	o := roster.Outcome{Event: health.Answered, Failed: rejected, Load: &load}
+	if !rejected {
 		b := e.baselines[r.class.Kind]
 		if b == nil {
 			b = &outlier.Baseline{}
@@ -139,29 +142,29 @@
 		o.Times, o.Latency = b.Compare(now.Sub(sent)), now.Sub(sent)
 	}
 	m.End(now, o)
-	switch took := now.Sub(r.asked); {
-	case refused && r.sends < max(r.route.Attempts, 1) &&
-		e.budget.TakeWithin(now, resendShare, resendAllowance/float64(e.model.Entries)):
-		e.take(r)
-	case refused:
-		e.refuse(r)
-	case took <= r.class.Objective:
-		e.model.done(r, 1)
-	case took <= r.class.Deadline:
-		e.model.done(r, lateWorth)
+	switch latency := now.Sub(r.arrived); {
+	case rejected && r.sends < max(r.route.Attempts, 1) &&
+		e.budget.TakeWithin(now, retryShare, retryAllowance/float64(e.model.Entries)):
+		e.send(r)
+	case rejected:
+		e.reject(r)
+	case latency <= r.class.Objective:
+		e.model.complete(r, 1)
+	case latency <= r.class.Deadline:
+		e.model.complete(r, lateCredit)
 	default:
-		e.model.done(r, 0)
+		e.model.complete(r, 0)
 	}
 }
 
-// refuse turns a caller away, who comes back once.
-func (e *entry) refuse(r *request) {
-	if r.returns == 0 {
-		e.model.done(r, 0)
+// reject rejects a request. The caller retries once, after clientRetryDelay.
+func (e *entry) reject(r *request) {
+	if r.retriesLeft == 0 {
+		e.model.complete(r, 0)
 		return
 	}
-	r.returns--
+	r.retriesLeft--
 	r.tried, r.sends = slices.Clip(r.tried[:0]), 0
-	r.began = e.model.now.Add(clientDelay)
-	e.model.after(clientDelay, func() { e.take(r) })
+	r.attemptStart = e.model.now.Add(clientRetryDelay)
+	e.model.after(clientRetryDelay, func() { e.send(r) })
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,11 +1,12 @@
-// Package model simulates callers, entries and backend servers on virtual time,
-// to compare policies on the same arrivals without a network.
+// Package model is a discrete-event simulation of callers, entries and backend
+// servers. It compares load balancing policies on the same arrivals, in virtual
+// time and without a network.
 //
-// The entries run the project's own decisions: each has a roster and a
-// dispatcher, and resends within a budget. Servers have slots and a queue, are
-// faster for objects that they handled recently, refuse what they can't queue,
-// and report their load. Callers send at random times, give up at their deadline,
-// and come back once after a refusal.
+// Each simulated entry runs the production code for server selection: a roster,
+// a dispatcher and a retry budget. Servers have slots and a queue, process
+// requests for recently served objects faster, reject requests when the queue is
+// full, and report their load. Requests arrive as a Poisson process. A caller
+// abandons a request at its deadline and retries once after a rejection.
 //
 // # Usage
 //
@@ -33,91 +34,98 @@
 )
 
 const (
-	serviceName = id.Service("service")
-	stepTime    = 100 * time.Millisecond
-	// nearDelay is the one-way delay within a region.
-	nearDelay = time.Millisecond
-	// lateWorth is the credit of an answer after the objective.
-	lateWorth = 0.2
-	// clientDelay is how soon a refused caller is back.
-	clientDelay = 100 * time.Millisecond
+	serviceName  = id.Service("service")
+	stepInterval = 100 * time.Millisecond
+	// intraRegionDelay is the one-way network delay within a region.
+	intraRegionDelay = time.Millisecond
+	// lateCredit is the credit for a response after the latency objective but
+	// before the deadline.
+	lateCredit = 0.2
+	// clientRetryDelay is the time between a rejection and the caller's retry.
+	clientRetryDelay = 100 * time.Millisecond
 )
 
 type (
 	// Service is the simulated service.
 	Service struct {
-		// Regions holds the number of servers of each region.
+		// Regions is the number of servers in each region.
 		Regions []int
-		// Slots is how many requests a server runs at the same time.
+		// Slots is the concurrency limit of a server.
 		Slots int
-		// Queue is how many more it keeps waiting.
+		// Queue is the maximum number of requests queued at a server.
 		Queue int
-		// Warm is how many objects a server remembers.
-		Warm int
-		// Gain is the part of the work that is saved for those, 0 to 1.
-		Gain float64
+		// WarmObjects is the number of recently served objects for which a
+		// server is warm.
+		WarmObjects int
+		// WarmSaving is the fraction of the service time saved for warm
+		// objects, 0 to 1.
+		WarmSaving float64
 	}
 
 	// Class is a class of requests.
 	Class struct {
-		// Kind is what may be sent again.
+		// Kind determines which requests may be retried.
 		Kind service.Kind
-		// Rate is how many come in a second, over all entries.
+		// Rate is the arrival rate in requests per second, over all entries.
 		Rate float64
-		// Objects is how many different ones they concern.
+		// Objects is the number of distinct objects that are requested.
 		Objects int
-		// Work is the mean work for an object that the server doesn't know.
-		Work time.Duration
-		// Objective is the latency within which an answer is worth 1.
+		// ServiceTime is the mean service time for an object for which the
+		// server is cold.
+		ServiceTime time.Duration
+		// Objective is the latency up to which a response earns a credit of 1.
 		Objective time.Duration
-		// Deadline is when the caller gives up.
+		// Deadline is the time after which the caller abandons the request.
 		Deadline time.Duration
-		// Timeout is when the entry gives up, at each try of the caller, and
-		// cancels the work; 0 is never.
+		// Timeout is the time after which the entry cancels an attempt of the
+		// caller; 0 means no timeout.
 		Timeout time.Duration
 	}
 
-	// Chooser is a policy.
+	// Chooser selects backend servers for one entry.
 	Chooser interface {
-		// Choose returns the server for a request, with the request begun there.
+		// Choose returns the server for a request. The request is already
+		// counted as in flight on it.
 		Choose(now time.Time, req *dispatch.Request) dispatch.Choice
 	}
 
-	// Model is a simulation. Its fields are set before Run.
+	// Model is a simulation. Its exported fields must be set before Run.
 	Model struct {
-		// Seed decides all that is random.
+		// Seed is the seed of the random number generators.
 		Seed uint64
-		// Length is the simulated time.
+		// Length is the simulated duration.
 		Length time.Duration
-		// Entries is how many entries there are; they stand in the regions in
-		// turn.
+		// Entries is the number of entries. They are assigned to the regions
+		// round robin.
 		Entries int
-		// Delay is the one-way delay between regions.
+		// Delay is the one-way network delay between regions.
 		Delay time.Duration
-		// Service is the service.
+		// Service describes the backend servers.
 		Service Service
 		// Classes are the classes of requests.
 		Classes []Class
-		// Attempts is how many servers one request may be sent to.
+		// Attempts is the maximum number of servers to which one attempt of the
+		// caller is sent.
 		Attempts int
-		// Policy makes an entry's policy; nil is a dispatch.Dispatcher.
+		// Policy creates the Chooser of an entry; nil means a
+		// dispatch.Dispatcher.
 		Policy Policy
 
-		events  queue
-		changes []change
-		now     time.Time
-		start   time.Time
-		rng     *rand.Rand
-		draws   *rand.Rand // of policies, so that all meet the same arrivals
-		entries []*entry
-		servers Servers
-		report  Report
-		order   int
+		events    eventQueue
+		changes   []change
+		now       time.Time
+		start     time.Time
+		rng       *rand.Rand
+		policyRNG *rand.Rand // separate from rng, so that all policies get the same arrivals
+		entries   []*entry
+		servers   Servers
+		report    Report
+		order     int
 	}
 
 	change struct {
-		at   time.Duration
-		make func(*Servers)
+		at    time.Duration
+		apply func(*Servers)
 	}
 
 	event struct {
@@ -126,9 +134,9 @@
 		run   func()
 	}
 
-	queue []event
+	eventQueue []event
 
-	// Report holds what callers saw.
+	// Report holds the results of all requests as seen by the callers.
 	Report struct {
 		start   time.Time
 		length  time.Duration
@@ -136,20 +144,20 @@
 	}
 
 	answer struct {
-		asked  time.Duration
-		took   time.Duration
-		credit float64
+		arrived time.Duration
+		latency time.Duration
+		credit  float64
 	}
 )
 
-// At makes a change to the servers at a time from the start.
-func (m *Model) At(at time.Duration, makeChange func(*Servers)) {
-	m.changes = append(m.changes, change{at, makeChange})
+// At schedules a change to the servers at a time after the start.
+func (m *Model) At(at time.Duration, apply func(*Servers)) {
+	m.changes = append(m.changes, change{at, apply})
 }
 
-// Run simulates and returns what callers saw.
+// Run runs the simulation and returns the results as seen by the callers.
 func (m *Model) Run() *Report {
-	m.rng, m.draws = rand.New(rand.NewPCG(m.Seed, 0)), rand.New(rand.NewPCG(m.Seed, 1))
+	m.rng, m.policyRNG = rand.New(rand.NewPCG(m.Seed, 0)), rand.New(rand.NewPCG(m.Seed, 1))
 	m.start = time.Unix(1_000_000, 0)
 	m.now = m.start
 	m.report = Report{start: m.start, length: m.Length}
@@ -158,14 +166,14 @@
 		m.entries = append(m.entries, newEntry(m, i))
 	}
 	for _, c := range m.changes {
-		m.after(c.at, func() { c.make(&m.servers) })
+		m.after(c.at, func() { c.apply(&m.servers) })
 	}
 	for i := range m.Classes {
-		m.arrive(&m.Classes[i], &route.Route{
+		m.scheduleArrival(&m.Classes[i], &route.Route{
 			Kind: m.Classes[i].Kind, Affinity: true, Attempts: m.Attempts, Objective: m.Classes[i].Objective,
 		})
 	}
-	m.after(stepTime, m.step)
+	m.after(stepInterval, m.step)
 	end := m.start.Add(m.Length)
 	for len(m.events) > 0 {
 		e, _ := heap.Pop(&m.events).(event)
@@ -178,12 +186,12 @@
 	return &m.report
 }
 
-// Credit returns the credit of the requests that came in a span of time, as a
-// part of the most that they could earn.
+// Credit returns the mean credit of the requests that arrived in a period, 0 to
+// 1.
 func (r *Report) Credit(from, to time.Duration) float64 {
 	sum, n := 0.0, 0
 	for _, a := range r.answers {
-		if a.asked >= from && a.asked < to {
+		if a.arrived >= from && a.arrived < to {
 			sum += a.credit
 			n++
 		}
@@ -191,12 +199,12 @@
 	return sum / math.Max(float64(n), 1)
 }
 
-// Unserved returns the part of the requests of a span of time that were refused or
-// failed.
+// Unserved returns the fraction of the requests that arrived in a period and were
+// rejected or failed.
 func (r *Report) Unserved(from, to time.Duration) float64 {
 	unserved, n := 0.0, 0
 	for _, a := range r.answers {
-		if a.asked >= from && a.asked < to {
+		if a.arrived >= from && a.arrived < to {
 			if n++; a.credit == 0 {
 				unserved++
 			}
@@ -205,13 +213,13 @@
 	return unserved / math.Max(float64(n), 1)
 }
 
-// Latency returns a quantile, 0 to 1, of the latencies of the requests that came
-// in a span of time and were answered.
+// Latency returns a quantile, 0 to 1, of the latencies of the requests that
+// arrived in a period and were served.
 func (r *Report) Latency(q float64, from, to time.Duration) time.Duration {
 	var all []time.Duration
 	for _, a := range r.answers {
-		if a.asked >= from && a.asked < to && a.credit > 0 {
-			all = append(all, a.took)
+		if a.arrived >= from && a.arrived < to && a.credit > 0 {
+			all = append(all, a.latency)
 		}
 	}
 	if len(all) == 0 {
@@ -221,14 +229,15 @@
 	return all[min(int(q*float64(len(all))), len(all)-1)]
 }
 
-// arrive lets requests of a class come at random times.
-func (m *Model) arrive(c *Class, rt *route.Route) {
+// scheduleArrival schedules the next request of a class. Each arrival schedules
+// its successor.
+func (m *Model) scheduleArrival(c *Class, rt *route.Route) {
 	gap := time.Duration(m.rng.ExpFloat64() / c.Rate * float64(time.Second))
 	m.after(gap, func() {
-		m.arrive(c, rt)
+		m.scheduleArrival(c, rt)
 		e := m.entries[m.rng.IntN(len(m.entries))]
 		object := fmt.Sprintf("%s-%d", c.Kind, m.rng.IntN(c.Objects))
-		e.take(&request{class: c, route: rt, object: object, asked: m.now, began: m.now, returns: 1})
+		e.send(&request{class: c, route: rt, object: object, arrived: m.now, attemptStart: m.now, retriesLeft: 1})
 	})
 }
 
@@ -236,7 +245,7 @@
 	for _, e := range m.entries {
 		e.roster.Step(m.now)
 	}
-	m.after(stepTime, m.step)
+	m.after(stepInterval, m.step)
 }
 
 func (m *Model) after(d time.Duration, run func()) {
@@ -244,12 +253,12 @@
 	heap.Push(&m.events, event{m.now.Add(d), m.order, run})
 }
 
-func (m *Model) done(r *request, credit float64) {
+func (m *Model) complete(r *request, credit float64) {
 	if r.done {
 		return
 	}
 	r.done = true
-	m.report.answers = append(m.report.answers, answer{r.asked.Sub(m.start), m.now.Sub(r.asked), credit})
+	m.report.answers = append(m.report.answers, answer{r.arrived.Sub(m.start), m.now.Sub(r.arrived), credit})
 }
 
 func region(i int) id.Region { return id.Region(fmt.Sprintf("region-%d", i)) }
@@ -257,10 +266,10 @@
 func discard() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // Len implements heap.Interface.
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Less(i, j int) bool {
 	if c := q[i].at.Compare(q[j].at); c != 0 {
 		return c < 0
 	}
@@ -268,17 +277,17 @@
 }
 
 // Swap implements heap.Interface.
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *queue) Push(x any) {
+func (q *eventQueue) Push(x any) {
 	if e, ok := x.(event); ok {
 		*q = append(*q, e)
 	}
 }
 
 // Pop implements heap.Interface.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -10,12 +10,12 @@
 
 var seeds = []uint64{0, 1}
 
-// TestLoadPatterns tells which part of the credit the product's policy has to earn
-// after each disturbance, and another policy that it has to beat over all seeds.
+// TestLoadPatterns checks for each load pattern that the production policy earns a
+// minimum credit with each seed, and a higher mean credit than another policy.
 func TestLoadPatterns(t *testing.T) {
 	tests := map[string]struct {
-		least float64
-		other string
+		minimum float64
+		other   string
 	}{
 		"steady load near the capacity of warm servers":             {0.9, "random"},
 		"overload ends after all servers forgot their objects":      {0.9, "random"},
@@ -39,19 +39,19 @@
 			for _, s := range c.Seeds {
 				got := s.Results[0].Credit
 				t.Logf("seed %d: credit %.3f, %s %.3f", s.Seed, got, tt.other, s.Results[1].Credit)
-				if got < tt.least {
-					t.Errorf("seed %d: credit %.3f, want %.2f", s.Seed, got, tt.least)
+				if got < tt.minimum {
+					t.Errorf("seed %d: credit %.3f, want %.2f", s.Seed, got, tt.minimum)
 				}
 			}
 			if means := c.Means(); means[0] <= means[1] {
-				t.Errorf("mean credit %.3f, %s %.3f", means[0], tt.other, means[1])
+				t.Errorf("mean credit %.3f, want more than that of %s, %.3f", means[0], tt.other, means[1])
 			}
 		})
 	}
 }
 
-func TestCompareUnknownPolicy(t *testing.T) {
+func TestCompareReturnsErrorForUnknownPolicy(t *testing.T) {
 	p := model.Patterns()[0]
-	_, err := model.Compare(&p, [2]string{"owners", "nobody"}, seeds)
+	_, err := model.Compare(&p, [2]string{"owners", "unknown"}, seeds)
 	is.New(t).True(err != nil)
 }
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -10,28 +10,31 @@
 )
 
 const (
-	// noLimit switches a limit of a dispatcher off.
+	// noLimit disables a limit of a dispatcher.
 	noLimit = 1e9
-	// spillLimit is how many requests of its own an entry that spills sends to a
-	// server while all are full, in multiples of the server's slots.
+	// spillLimit bounds the requests in flight from one entry to a server once
+	// the entry has filled the slots of all servers, as a multiple of the
+	// server's slots.
 	spillLimit = 4
-	// mixer spreads times over all numbers.
-	mixer = 0x9e3779b97f4a7c15
+	// hashMultiplier is the multiplier of a multiplicative hash of timestamps.
+	hashMultiplier = 0x9e3779b97f4a7c15
 )
 
 type (
-	// Policy makes an entry's policy.
+	// Policy creates the Chooser of an entry.
 	Policy func(r *roster.Roster, region id.Region) Chooser
 
-	// spillAtOnce sends to the highest ranked server with a free slot, by the
-	// entry's own count, and else to the highest ranked one.
-	spillAtOnce struct{ roster *roster.Roster }
+	// spill selects the highest ranked server with a free slot, counting only
+	// the entry's own requests, and else the highest ranked server below
+	// spillLimit.
+	spill struct{ roster *roster.Roster }
 
-	// noOwners sends each request to a server of its own.
-	noOwners struct{ next dispatch.Dispatcher }
+	// randomRanking ranks the servers at random for each request instead of by
+	// object.
+	randomRanking struct{ next dispatch.Dispatcher }
 
-	// noTimes queues without regard to the time that requests have.
-	noTimes struct{ next dispatch.Dispatcher }
+	// ignoreTimes queues without regard to objectives and deadlines.
+	ignoreTimes struct{ next dispatch.Dispatcher }
 )
 
 // Policies returns the policies that can be compared, by name.
@@ -44,13 +47,13 @@
 	return map[string]Policy{
 		"owners": limited(dispatch.Limits{}),
 		"spill": func(r *roster.Roster, _ id.Region) Chooser {
-			return spillAtOnce{r}
+			return spill{r}
 		},
 		"random": func(r *roster.Roster, region id.Region) Chooser {
-			return &noOwners{dispatch.Dispatcher{Roster: r, Region: region}}
+			return &randomRanking{dispatch.Dispatcher{Roster: r, Region: region}}
 		},
 		"untimed": func(r *roster.Roster, region id.Region) Chooser {
-			return &noTimes{dispatch.Dispatcher{Roster: r, Region: region}}
+			return &ignoreTimes{dispatch.Dispatcher{Roster: r, Region: region}}
 		},
 		"longQueues":    limited(dispatch.Limits{FullQueue: 4, Overflow: 4, QueueObjectives: noLimit}),
 		"spillBusy":     limited(dispatch.Limits{SpareLoad: 0.8}),
@@ -60,7 +63,7 @@
 }
 
 // Choose implements Chooser.
-func (p spillAtOnce) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
+func (p spill) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
 	for _, limit := range []float64{1, spillLimit} {
 		var best *roster.Member
 		for _, m := range p.roster.View().Members(req.Service) {
@@ -77,14 +80,14 @@
 }
 
 // Choose implements Chooser.
-func (p *noOwners) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
+func (p *randomRanking) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
 	other := *req
-	other.Key = uint64(now.UnixNano()) * mixer
+	other.Key = uint64(now.UnixNano()) * hashMultiplier
 	return p.next.Choose(now, &other)
 }
 
 // Choose implements Chooser.
-func (p *noTimes) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
+func (p *ignoreTimes) Choose(now time.Time, req *dispatch.Request) dispatch.Choice {
 	other, rt := *req, *req.Route
 	rt.Objective, other.Left, other.Route = 0, 0, &rt
 	return p.next.Choose(now, &other)
--- a/internal/model/servers.go
+++ b/internal/model/servers.go
@@ -9,33 +9,34 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// workSpread is the spread of the work of one class, as a part of its mean.
-const workSpread = 0.15
+// serviceTimeSpread is the standard deviation of the service time of a class, as a
+// fraction of its mean. It is also the lower bound of a service time.
+const serviceTimeSpread = 0.15
 
 type (
 	// Servers are the simulated backend servers.
 	Servers struct {
-		model  *Model
-		all    []*server
-		byName map[id.Server]*server
-		refuse float64
+		model       *Model
+		all         []*server
+		byName      map[id.Server]*server
+		rejectRatio float64
 	}
 
 	server struct {
-		servers *Servers
-		name    id.Server
-		region  int
-		factor  float64
-		running int
-		waiting []*job
-		warm    []string // the last handled first
+		servers  *Servers
+		name     id.Server
+		region   int
+		slowdown float64
+		running  int
+		waiting  []*job
+		warm     []string // most recently served first
 	}
 
 	job struct {
 		request *request
-		done    func(refused bool)
-		begun   bool
-		ended   bool // it is done, or was canceled
+		done    func(rejected bool)
+		started bool
+		ended   bool // completed or cancelled
 	}
 )
 
@@ -43,7 +44,7 @@
 	s := Servers{model: m, byName: make(map[id.Server]*server)}
 	for r, n := range m.Service.Regions {
 		for range n {
-			sv := &server{servers: &m.servers, name: id.Server(fmt.Sprintf("s-%d", len(s.all))), region: r, factor: 1}
+			sv := &server{servers: &m.servers, name: id.Server(fmt.Sprintf("s-%d", len(s.all))), region: r, slowdown: 1}
 			s.all = append(s.all, sv)
 			s.byName[sv.name] = sv
 		}
@@ -51,25 +52,26 @@
 	return s
 }
 
-// Refuse lets all servers refuse a part of the requests, 0 to 1.
-func (s *Servers) Refuse(part float64) { s.refuse = part }
+// SetRejectRatio sets the fraction of requests that all servers reject, 0 to 1.
+func (s *Servers) SetRejectRatio(ratio float64) { s.rejectRatio = ratio }
 
-// Slow lets the first n servers work a number of times as long.
-func (s *Servers) Slow(n int, times float64) {
+// Slow multiplies the service times of the first n servers by factor.
+func (s *Servers) Slow(n int, factor float64) {
 	for _, sv := range s.all[:n] {
-		sv.factor = times
+		sv.slowdown = factor
 	}
 }
 
-// Forget lets all servers forget the objects that they handled.
-func (s *Servers) Forget() {
+// ClearWarm makes all servers cold for all objects.
+func (s *Servers) ClearWarm() {
 	for _, sv := range s.all {
 		sv.warm = nil
 	}
 }
 
-// Leave lets the first n servers get no more requests.
-func (s *Servers) Leave(n int) {
+// Remove removes the first n servers from the rosters of all entries. Requests
+// already sent to them are still processed.
+func (s *Servers) Remove(n int) {
 	for _, e := range s.model.entries {
 		for _, sv := range s.all[:n] {
 			e.roster.Remove(s.model.now, sv.name)
@@ -89,15 +91,16 @@
 
 func (s *server) load() roster.Load { return roster.Load{Running: s.running, Waiting: len(s.waiting)} }
 
-// take runs a request, queues it or refuses it. It returns what cancels it.
-func (s *server) take(r *request, done func(refused bool)) (cancel func()) {
+// accept starts, queues or rejects a request. It returns a function that cancels
+// the request.
+func (s *server) accept(r *request, done func(rejected bool)) (cancel func()) {
 	svc := &s.servers.model.Service
 	j := &job{request: r, done: done}
 	switch {
-	case s.servers.refuse > 0 && s.servers.model.rng.Float64() < s.servers.refuse:
+	case s.servers.rejectRatio > 0 && s.servers.model.rng.Float64() < s.servers.rejectRatio:
 		done(true)
 	case s.running < svc.Slots:
-		s.run(j)
+		s.start(j)
 	case len(s.waiting) < svc.Queue:
 		s.waiting = append(s.waiting, j)
 	default:
@@ -106,38 +109,40 @@
 	return func() { s.cancel(j) }
 }
 
-func (s *server) run(j *job) {
+func (s *server) start(j *job) {
 	m := s.servers.model
 	s.running++
-	j.begun = true
-	work := float64(j.request.class.Work) * s.factor * max(1+workSpread*m.rng.NormFloat64(), workSpread)
-	if s.knows(j.request.object) {
-		work *= 1 - m.Service.Gain
+	j.started = true
+	serviceTime := float64(j.request.class.ServiceTime) * s.slowdown * max(1+serviceTimeSpread*m.rng.NormFloat64(), serviceTimeSpread)
+	if s.isWarm(j.request.object) {
+		serviceTime *= 1 - m.Service.WarmSaving
 	}
-	m.after(time.Duration(work), func() {
+	m.after(time.Duration(serviceTime), func() {
 		if j.ended {
 			return
 		}
 		j.ended = true
-		s.learn(j.request.object)
-		s.next()
+		s.markWarm(j.request.object)
+		s.startQueued()
 		j.done(false)
 	})
 }
 
-// cancel ends a request whose entry has given up.
+// cancel cancels a request whose entry has timed out. A queued request stays in
+// the queue and is skipped by startQueued.
 func (s *server) cancel(j *job) {
 	if j.ended {
 		return
 	}
 	j.ended = true
-	if j.begun {
-		s.next()
+	if j.started {
+		s.startQueued()
 	}
 }
 
-// next runs what waits in the place of a request that has ended.
-func (s *server) next() {
+// startQueued frees the slot of a finished request and starts queued requests.
+// Those past their deadline are rejected.
+func (s *server) startQueued() {
 	m := s.servers.model
 	s.running--
 	for len(s.waiting) > 0 && s.running < m.Service.Slots {
@@ -149,21 +154,22 @@
 			next.ended = true
 			next.done(true)
 		default:
-			s.run(next)
+			s.start(next)
 		}
 	}
 }
 
-// knows tells whether the server handled an object recently.
-func (s *server) knows(object string) bool { return slices.Contains(s.warm, object) }
+// isWarm reports whether the server has served an object recently.
+func (s *server) isWarm(object string) bool { return slices.Contains(s.warm, object) }
 
-// learn notes that the server has handled an object.
-func (s *server) learn(object string) {
+// markWarm records that the server has served an object and evicts the least
+// recently served one if there are too many.
+func (s *server) markWarm(object string) {
 	if i := slices.Index(s.warm, object); i >= 0 {
 		s.warm = slices.Delete(s.warm, i, i+1)
 	}
 	s.warm = slices.Insert(s.warm, 0, object)
-	if limit := s.servers.model.Service.Warm; len(s.warm) > limit {
+	if limit := s.servers.model.Service.WarmObjects; len(s.warm) > limit {
 		s.warm = s.warm[:limit]
 	}
 }
