--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -15,47 +15,52 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Bounds of a bench.
+// Bounds of a benchmark.
 const (
-	// MaxTargets is the greatest number of targets.
+	// MaxTargets is the maximum number of targets.
 	MaxTargets = 2
-	// MaxDuration bounds the load of one seed.
+	// MaxDuration is the maximum duration of the load for one seed.
 	MaxDuration = 5 * time.Minute
-	// MaxSeeds is the greatest number of seeds.
+	// MaxSeeds is the maximum number of seeds.
 	MaxSeeds = 20
-	// MaxRequests bounds the requests of one seed to one target.
+	// MaxRequests is the maximum expected number of requests to one target for
+	// one seed.
 	MaxRequests = 2_000_000
 )
 
 const requestTimeout = 30 * time.Second
 
 type (
-	// Bench is what to measure.
+	// Bench configures a benchmark.
 	Bench struct {
-		// Targets holds one URL, or two to be compared.
+		// Targets holds one URL, or two URLs to compare.
 		Targets []string
-		// Rate is the mean rate of arrivals at each target.
+		// Rate is the mean arrival rate at each target.
 		Rate unit.Rate
-		// Duration is the time of the load for each seed.
+		// Duration is the duration of the load for each seed, including the
+		// warm-up.
 		Duration time.Duration
-		// Warmup is the first part of it, which isn't recorded.
+		// Warmup is the initial part of Duration that is not recorded.
 		Warmup time.Duration
-		// Seeds fix the schedules, one run each.
+		// Seeds are the seeds of the arrival schedules. There is one run per
+		// seed.
 		Seeds []uint64
-		// InFlight bounds the requests at the same time; 0 means 1000.
+		// InFlight is the maximum number of concurrent requests to each target;
+		// 0 means 1000.
 		InFlight int
-		// Progress gets a line for each seed; nil for none.
+		// Progress, if not nil, is called after each seed with the number of
+		// completed seeds and the number of all seeds.
 		Progress func(seed uint64, done, all int)
 	}
 
-	// run is one target's part of one seed.
-	run struct {
+	// target sends requests to one URL.
+	target struct {
 		client *http.Client
-		target string
+		url    string
 	}
 )
 
-// Check tells what is wrong with the bench, nil if nothing is.
+// Check returns an error if the configuration is invalid.
 func (b *Bench) Check() error {
 	if n := len(b.Targets); n < 1 || n > MaxTargets {
 		return eris.Errorf("%d targets, want 1 or %d", n, MaxTargets)
@@ -73,12 +78,14 @@
 	case b.Warmup < 0 || b.Warmup >= b.Duration:
 		return eris.Errorf("warm-up %s, want less than the duration", b.Warmup)
 	case !(b.Rate > 0 && float64(b.Rate)*b.Duration.Seconds() <= MaxRequests):
-		return eris.Errorf("rate %g, want above 0 and at most %d requests in all", float64(b.Rate), MaxRequests)
+		return eris.Errorf("rate %g, want above 0 and at most %d requests in total", float64(b.Rate), MaxRequests)
 	}
 	return nil
 }
 
-// Run runs all seeds one after the other.
+// Run runs the benchmark with one seed after another. It returns an error if the
+// configuration is invalid or ctx is cancelled. Failed requests are counted in the
+// report.
 func (b *Bench) Run(ctx context.Context) (*Report, error) {
 	if err := b.Check(); err != nil {
 		return nil, err
@@ -97,29 +104,29 @@
 	return r, nil
 }
 
-// runSeed loads all targets at the same time.
+// runSeed sends the load of one seed to all targets concurrently.
 func (b *Bench) runSeed(ctx context.Context, seed uint64) []openloop.Result {
 	results := make([]openloop.Result, len(b.Targets))
 	var all sync.WaitGroup
-	for i, target := range b.Targets {
+	for i, url := range b.Targets {
 		all.Go(func() {
 			transport := &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}
 			defer transport.CloseIdleConnections()
-			one := run{client: &http.Client{Transport: transport, Timeout: requestTimeout}, target: target}
+			t := target{client: &http.Client{Transport: transport, Timeout: requestTimeout}, url: url}
 			load := openloop.Load{Rate: b.Rate, Duration: b.Duration, Warmup: b.Warmup, Seed: seed, InFlight: b.InFlight}
-			results[i] = load.Run(ctx, one.get)
+			results[i] = load.Run(ctx, t.get)
 		})
 	}
 	all.Wait()
 	return results
 }
 
-func (r *run) get(ctx context.Context, _ int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.target, nil)
+func (t *target) get(ctx context.Context, _ int) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, t.url, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := r.client.Do(req)
+	resp, err := t.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -140,7 +147,7 @@
 	}
 	address, err := netip.ParseAddr(u.Hostname())
 	if err != nil || !address.IsLoopback() {
-		return eris.Errorf("target %q is not on loopback", target)
+		return eris.Errorf("target %q is not a loopback address", target)
 	}
 	return nil
 }
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,10 +1,10 @@
-// Package bench measures HTTP targets on loopback, open loop, over several
-// seeds, and two of them side by side.
+// Package bench is an open-loop HTTP load generator for one or two targets on
+// the loopback interface.
 //
-// With two targets each seed's load runs against both at the same time with
-// the same schedule, so that what the machine does meets both alike. The
-// comparison is the ratio of their percentiles for each seed, reported as
-// median with least and greatest.
+// The load is repeated for several seeds. With two targets, each seed runs
+// against both at the same time and with the same schedule, so that other load
+// on the machine affects both equally. The comparison is the ratio of their
+// latency percentiles for each seed, reported as median, minimum and maximum.
 //
 // # Usage
 //
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -13,12 +13,12 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	plotNines  = 4.0 // to the 99.99th percentile
+	plotNines  = 4.0 // up to the 99.99th percentile
 	plotPoints = 200
 )
 
-// Plot draws the latency over the percentile, in nines, to a file whose ending
-// tells the form: svg, png or pdf.
+// Plot draws the latency over the percentile, in nines. The extension of the file
+// selects the format: svg, png or pdf.
 func (r *Report) Plot(path string) error {
 	p := plot.New()
 	p.X.Label.Text = "percentile in nines (1 is 90%, 2 is 99%)"
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -14,41 +14,42 @@
 const tabPadding = 2
 
 type (
-	// Report is what a bench measured.
+	// Report holds the results of a benchmark.
 	Report struct {
-		// Targets holds what each target showed.
+		// Targets holds the results of each target.
 		Targets []Target `json:"targets"`
-		// Ratios compares the first target to the second; nil for one target.
+		// Ratios compares the first target with the second; nil for one target.
 		Ratios *Ratios `json:"ratios,omitempty"`
 	}
 
-	// Target is what one target showed.
+	// Target holds the results of one target.
 	Target struct {
-		// URL is the target.
+		// URL is the target's URL.
 		URL string `json:"url"`
-		// Sent counts the requests after the warm-up.
+		// Sent is the number of requests scheduled after the warm-up.
 		Sent int `json:"sent"`
-		// Failed counts those without a whole answer of status 200.
+		// Failed is the number of these without a complete response of status
+		// 200.
 		Failed int `json:"failed"`
-		// FirstError is the first error that was seen.
+		// FirstError is the first error that occurred.
 		FirstError string `json:"firstError,omitempty"`
-		// All holds the percentiles over all seeds.
+		// All holds the latency percentiles over all seeds.
 		All openloop.Percentiles `json:"all"`
-		// Seeds holds the percentiles of each seed.
+		// Seeds holds the latency percentiles of each seed.
 		Seeds []Seed `json:"seeds"`
 
 		merged *hdrhistogram.Histogram
 	}
 
-	// Seed is what one seed showed.
+	// Seed holds the results of one seed.
 	Seed struct {
-		// Seed is the seed.
+		// Seed is the seed of the schedule.
 		Seed uint64 `json:"seed"`
-		// Latency holds the percentiles.
+		// Latency holds the latency percentiles.
 		Latency openloop.Percentiles `json:"latency"`
 	}
 
-	// Ratios compares two targets.
+	// Ratios holds the latency of the first target divided by that of the second.
 	Ratios struct {
 		// P50 is the ratio of the medians.
 		P50 Ratio `json:"p50"`
@@ -56,13 +57,13 @@
 		P99 Ratio `json:"p99"`
 	}
 
-	// Ratio is a ratio over the seeds.
+	// Ratio summarises the ratios of all seeds.
 	Ratio struct {
-		// Median is the median over the seeds.
+		// Median is the median ratio, the upper one of an even number.
 		Median float64 `json:"median"`
-		// Least is the least over the seeds.
+		// Least is the smallest ratio.
 		Least float64 `json:"least"`
-		// Greatest is the greatest over the seeds.
+		// Greatest is the largest ratio.
 		Greatest float64 `json:"greatest"`
 	}
 )
@@ -96,16 +97,16 @@
 		return
 	}
 	r.Ratios = &Ratios{
-		P50: r.ratio(func(p openloop.Percentiles) float64 { return float64(p.P50) }),
-		P99: r.ratio(func(p openloop.Percentiles) float64 { return float64(p.P99) }),
+		P50: r.ratioOf(func(p openloop.Percentiles) float64 { return float64(p.P50) }),
+		P99: r.ratioOf(func(p openloop.Percentiles) float64 { return float64(p.P99) }),
 	}
 }
 
-func (r *Report) ratio(of func(openloop.Percentiles) float64) Ratio {
+func (r *Report) ratioOf(percentile func(openloop.Percentiles) float64) Ratio {
 	var all []float64
 	for i, first := range r.Targets[0].Seeds {
-		if base := of(r.Targets[1].Seeds[i].Latency); base > 0 {
-			all = append(all, of(first.Latency)/base)
+		if base := percentile(r.Targets[1].Seeds[i].Latency); base > 0 {
+			all = append(all, percentile(first.Latency)/base)
 		}
 	}
 	if len(all) == 0 {
@@ -115,12 +116,12 @@
 	return Ratio{Median: all[len(all)/2], Least: all[0], Greatest: all[len(all)-1]}
 }
 
-// Failed tells whether any request failed.
+// Failed reports whether any request failed or a target has no recorded request.
 func (r *Report) Failed() bool {
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Failed > 0 || t.Sent == 0 })
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as a text table.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0)
 	fmt.Fprintln(t, "TARGET\tSEED\tSENT\tFAILED\tP50\tP99\tP99.9\tMAX")
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// String formats the ratio with its spread.
+// String formats the ratio as median, minimum and maximum.
 func (r Ratio) String() string {
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", r.Median, r.Least, r.Greatest)
 }
