--- a/internal/openloop/doc.go
+++ b/internal/openloop/doc.go
@@ -1,9 +1,11 @@
-// Package openloop sends load by a schedule that doesn't wait for answers.
+// Package openloop generates open-loop load: requests are sent on a schedule
+// that does not depend on responses.
 //
-// Arrivals are a Poisson process of a fixed seed. Latency is counted from the
-// scheduled time, so that a stall of the system under load counts for every
-// request that should have been sent during it, also when the sender had to
-// wait for one of its own places.
+// Arrivals are a Poisson process with a fixed seed. Latency is measured from the
+// scheduled time, to avoid coordinated omission: a stall of the system under
+// load is included in the latency of every request scheduled during the stall,
+// even if the request was sent late because the limit of concurrent requests was
+// reached.
 //
 // # Usage
 //
--- a/internal/openloop/load.go
+++ b/internal/openloop/load.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	defaultInFlight = 1000
-	maxLatency      = time.Hour
-	digits          = 3
-	streamSalt      = 0x5ca1ab1e
+	defaultInFlight   = 1000
+	maxLatency        = time.Hour
+	significantDigits = 3
+	rngStream         = 0x5ca1ab1e
 )
 
 type (
 	// Load is a schedule of arrivals.
 	Load struct {
-		// Rate is the mean rate of arrivals.
+		// Rate is the mean arrival rate.
 		Rate unit.Rate
-		// Duration is how long arrivals go on, the warm-up included.
+		// Duration is the duration of the schedule, including the warm-up.
 		Duration time.Duration
-		// Warmup is the first part of it, whose latencies are not recorded.
+		// Warmup is the initial part of Duration whose requests are not
+		// recorded.
 		Warmup time.Duration
-		// Seed fixes the times of the arrivals.
+		// Seed is the seed of the arrival times.
 		Seed uint64
-		// InFlight is the greatest number of requests at the same time; 0
-		// means 1000. An arrival beyond it waits, and its wait counts.
+		// InFlight is the maximum number of concurrent requests; 0 means 1000.
+		// An arrival above the limit waits, and the wait is part of its
+		// latency.
 		InFlight int
 	}
 
-	// Result is what a load saw after its warm-up.
+	// Result holds the results of the requests scheduled after the warm-up.
 	Result struct {
-		// Latency holds the times from the schedule to the end of the answer,
-		// in microseconds, failures excepted.
+		// Latency holds the times from the scheduled arrival to the end of the
+		// response, in microseconds, of the requests that succeeded.
 		Latency *hdrhistogram.Histogram
-		// Sent counts the requests.
+		// Sent is the number of requests.
 		Sent int
-		// Failed counts those that ended in an error.
+		// Failed is the number of requests that returned an error.
 		Failed int
-		// FirstError is the first error that was seen.
+		// FirstError is the first error that occurred.
 		FirstError error
 	}
 
-	// Percentiles are latencies.
+	// Percentiles holds latency percentiles.
 	Percentiles struct {
-		// Count is the number of latencies.
+		// Count is the number of recorded latencies.
 		Count int64 `json:"count"`
 		// P50 is the median.
 		P50 unit.Duration `json:"p50"`
@@ -57,7 +59,7 @@
 		P99 unit.Duration `json:"p99"`
 		// P999 is the 99.9th percentile.
 		P999 unit.Duration `json:"p999"`
-		// Max is the greatest.
+		// Max is the maximum.
 		Max unit.Duration `json:"max"`
 	}
 
@@ -67,9 +69,9 @@
 	}
 )
 
-// Times returns the times of all arrivals from the start.
+// Times returns the scheduled times of all arrivals, relative to the start.
 func (l *Load) Times() []time.Duration {
-	rng := rand.New(rand.NewPCG(l.Seed, streamSalt))
+	rng := rand.New(rand.NewPCG(l.Seed, rngStream))
 	var times []time.Duration
 	at := time.Duration(0)
 	for {
@@ -81,14 +83,15 @@
 	}
 }
 
-// Run calls do for each arrival, with the arrival's number, and returns when
-// all calls have ended. When ctx ends no more calls are begun.
+// Run calls do at each scheduled arrival, with the index of the arrival, and
+// returns when all calls have returned. No more calls are started once ctx is
+// done.
 func (l *Load) Run(ctx context.Context, do func(ctx context.Context, n int) error) Result {
 	inFlight := l.InFlight
 	if inFlight == 0 {
 		inFlight = defaultInFlight
 	}
-	places := make(chan struct{}, inFlight)
+	semaphore := make(chan struct{}, inFlight)
 	c := collector{result: Result{Latency: NewHistogram()}}
 	var running sync.WaitGroup
 	start := time.Now()
@@ -96,13 +99,13 @@
 		if !sleepUntil(ctx, start.Add(at)) {
 			break
 		}
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		running.Go(func() {
 			err := do(ctx, n)
 			if at >= l.Warmup {
 				c.add(time.Since(start)-at, err)
 			}
-			<-places
+			<-semaphore
 		})
 	}
 	running.Wait()
@@ -111,13 +114,13 @@
 
 // NewHistogram returns an empty histogram of latencies in microseconds.
 func NewHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
 // Percentiles returns the percentiles of the latencies.
 func (r *Result) Percentiles() Percentiles { return Of(r.Latency) }
 
-// Of returns the percentiles of a histogram in microseconds.
+// Of returns the percentiles of a histogram of latencies in microseconds.
 func Of(h *hdrhistogram.Histogram) Percentiles {
 	at := func(q float64) unit.Duration { return micros(h.ValueAtQuantile(q)) }
 	return Percentiles{Count: h.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: micros(h.Max())}
@@ -134,7 +137,7 @@
 		}
 		return
 	}
-	// Values over the histogram's range count as its greatest.
+	// Latencies above the range of the histogram are recorded as its maximum.
 	_ = c.result.Latency.RecordValue(min(latency, maxLatency).Microseconds())
 }
 
--- a/internal/openloop/load_test.go
+++ b/internal/openloop/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/shallotpier/shallotpier/internal/openloop"
 )
 
-func TestTimesRepeatBySeed(t *testing.T) {
+func TestTimesDependOnlyOnSeed(t *testing.T) {
 	is := is.New(t)
 	a := openloop.Load{Rate: 1000, Duration: 10 * time.Second, Seed: 1}
 	b := a
@@ -20,10 +20,10 @@
 	b.Seed = 2
 	is.True(a.Times()[0] != b.Times()[0])
 	n := len(a.Times())
-	is.True(n > 9500 && n < 10500) // the rate is kept
+	is.True(n > 9500 && n < 10500) // close to rate times duration
 }
 
-func TestRunCountsAStallForAllItHeldUp(t *testing.T) {
+func TestRunIncludesStallInLatencyOfDelayedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := openloop.Load{Rate: 100, Duration: 10 * time.Second, Seed: 1, InFlight: 1}
@@ -38,19 +38,19 @@
 		is.Equal(r.Sent, len(l.Times()))
 		p := r.Percentiles()
 		is.True(p.Max.Std() > 4900*time.Millisecond)
-		// Half of the arrivals fell into the stall; the middle one of those
-		// waited about half of it.
+		// Half of the arrivals are scheduled during the stall; the median one
+		// of these waits for about half of it.
 		is.True(r.Latency.ValueAtQuantile(75) > (2 * time.Second).Microseconds())
 	})
 }
 
-func TestRunLeavesOutTheWarmup(t *testing.T) {
+func TestRunDoesNotRecordWarmup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := openloop.Load{Rate: 100, Duration: 4 * time.Second, Warmup: 2 * time.Second, Seed: 1}
-		begun := time.Now()
+		start := time.Now()
 		r := l.Run(context.Background(), func(_ context.Context, n int) error {
-			if time.Since(begun) < 2*time.Second {
+			if time.Since(start) < 2*time.Second {
 				time.Sleep(time.Second)
 			}
 			if n%10 == 0 {
@@ -58,7 +58,7 @@
 			}
 			return nil
 		})
-		is.Equal(r.Percentiles().Max.Std(), time.Duration(0)) // the slow part is not recorded
+		is.Equal(r.Percentiles().Max.Std(), time.Duration(0)) // the slow requests of the warm-up are not recorded
 		is.True(r.Sent < len(l.Times()))
 		is.Equal(r.Sent, r.Failed+int(r.Latency.TotalCount()))
 		is.True(r.Failed > 0)
@@ -66,14 +66,14 @@
 	})
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		l := openloop.Load{Rate: 100, Duration: time.Hour, Seed: 1}
-		begun := time.Now()
+		start := time.Now()
 		l.Run(ctx, func(context.Context, int) error { return nil })
-		is.True(time.Since(begun) < 2*time.Second)
+		is.True(time.Since(start) < 2*time.Second)
 	})
 }
