--- a/internal/slope/doc.go
+++ b/internal/slope/doc.go
@@ -1,10 +1,10 @@
-// Package slope fits straight lines to measured points, so that the cost of a
-// role at a size that no single machine reaches can be worked out from sizes
-// that it does reach.
+// Package slope fits straight lines to measurements. It serves to extrapolate the
+// cost of a role of a node from sizes that one machine can run to sizes that it
+// can't.
 //
-// A [Series] holds the points of one quantity over one size. [Fit] gives the
-// [Line] and says how far the points lie from it; whoever extends a line past
-// its last point should look at the residual first.
+// A [Series] holds the measurements of one quantity at several sizes. [Fit]
+// returns the [Line] with its coefficient of determination and largest residual.
+// Check the residual before extrapolating beyond the last point.
 //
 // # Usage
 //
--- a/internal/slope/slope.go
+++ b/internal/slope/slope.go
@@ -7,46 +7,47 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// MinPoints is the least number of points that a line is fitted to.
+// MinPoints is the minimum number of points for Fit.
 const MinPoints = 5
 
 type (
 	// Point is one measurement.
 	Point struct {
-		// X is the size at which it was taken.
+		// X is the size at which the quantity was measured.
 		X float64 `json:"x"`
 		// Y is the measured quantity.
 		Y float64 `json:"y"`
 	}
 
-	// Series is one quantity measured at several sizes.
+	// Series holds the measurements of one quantity at several sizes.
 	Series struct {
-		// Role names the role of a node that bears the cost.
+		// Role is the role of a node that incurs the cost.
 		Role string `json:"role"`
-		// Quantity names what was measured, with its unit.
+		// Quantity is the name of the measured quantity, with its unit.
 		Quantity string `json:"quantity"`
-		// Size names what X counts.
+		// Size is the name of what X counts.
 		Size string `json:"size"`
 		// Points are the measurements.
 		Points []Point `json:"points"`
 	}
 
-	// Line is a straight line through measured points.
+	// Line is a straight line fitted to points.
 	Line struct {
 		// Intercept is the quantity at size 0.
 		Intercept float64 `json:"intercept"`
-		// Slope is the quantity for one more of the size.
+		// Slope is the increase of the quantity per unit of size.
 		Slope float64 `json:"slope"`
-		// R2 is the share of the variance that the line explains.
+		// R2 is the coefficient of determination, the fraction of the variance
+		// that the line explains.
 		R2 float64 `json:"r2"`
-		// Residual is the greatest distance of a point from the line, as a
-		// share of the largest measured quantity.
+		// Residual is the largest absolute residual, as a fraction of the
+		// largest absolute value of the measured quantity.
 		Residual float64 `json:"residual"`
 	}
 )
 
-// Fit fits a line by least squares. It returns an error for fewer than
-// MinPoints points, for points of one size, and for values that aren't finite.
+// Fit fits a line by least squares. It returns an error if there are fewer than
+// MinPoints points, if all points have the same size, or if a value isn't finite.
 func Fit(points []Point) (Line, error) {
 	if len(points) < MinPoints {
 		return Line{}, eris.Errorf("%d points, want at least %d", len(points), MinPoints)
@@ -57,7 +58,7 @@
 	}
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	if !finite(a) || !finite(b) {
-		return Line{}, eris.New("the points give no line")
+		return Line{}, eris.New("no line fits the points: all sizes are equal or a value is not finite")
 	}
 	line := Line{Intercept: a, Slope: b, R2: 1}
 	if stat.Variance(ys, nil) > 0 {
@@ -67,19 +68,19 @@
 	return line, nil
 }
 
-// At returns the quantity that the line gives for a size.
+// At returns the quantity that the line predicts for a size.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
 func residual(l Line, points []Point) float64 {
-	far, top := 0.0, 0.0
+	largest, scale := 0.0, 0.0
 	for _, p := range points {
-		far = math.Max(far, math.Abs(p.Y-l.At(p.X)))
-		top = math.Max(top, math.Abs(p.Y))
+		largest = math.Max(largest, math.Abs(p.Y-l.At(p.X)))
+		scale = math.Max(scale, math.Abs(p.Y))
 	}
-	if top == 0 {
+	if scale == 0 {
 		return 0
 	}
-	return far / top
+	return largest / scale
 }
 
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -17,12 +17,12 @@
 		resid  float64
 		ok     bool
 	}{
-		"exact":      {points: []slope.Point{{1, 3}, {2, 5}, {3, 7}, {4, 9}, {5, 11}}, at: 100, want: 201, ok: true},
-		"flat":       {points: []slope.Point{{1, 4}, {2, 4}, {3, 4}, {4, 4}, {5, 4}}, at: 9, want: 4, ok: true},
-		"one apart":  {points: []slope.Point{{1, 0}, {2, 0}, {3, 10}, {4, 0}, {5, 0}}, at: 3, want: 2, resid: 0.8, ok: true},
-		"too few":    {points: []slope.Point{{1, 1}, {2, 2}}},
-		"one size":   {points: []slope.Point{{1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 5}}},
-		"not finite": {points: []slope.Point{{1, 1}, {2, 2}, {3, math.NaN()}, {4, 4}, {5, 5}}},
+		"exact":       {points: []slope.Point{{1, 3}, {2, 5}, {3, 7}, {4, 9}, {5, 11}}, at: 100, want: 201, ok: true},
+		"flat":        {points: []slope.Point{{1, 4}, {2, 4}, {3, 4}, {4, 4}, {5, 4}}, at: 9, want: 4, ok: true},
+		"one distant": {points: []slope.Point{{1, 0}, {2, 0}, {3, 10}, {4, 0}, {5, 0}}, at: 3, want: 2, resid: 0.8, ok: true},
+		"too few":     {points: []slope.Point{{1, 1}, {2, 2}}},
+		"one size":    {points: []slope.Point{{1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 5}}},
+		"not finite":  {points: []slope.Point{{1, 1}, {2, 2}, {3, math.NaN()}, {4, 4}, {5, 5}}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
