--- a/internal/replay/plot.go
+++ b/internal/replay/plot.go
@@ -19,9 +19,10 @@
 	plotRows   = 3
 )
 
-// Plot draws, by second of the trace, each policy's 99th percentile of waiting
-// and its refusals, and the load of each region under the last policy but the
-// perfect queue. The file's ending tells the form: svg, png or pdf.
+// Plot draws, for each second of the trace, the 99th percentile of the queue time
+// and the refused requests of each policy, and the load of each region with the
+// last policy but one, which is shares in the order of [Policies]. The extension
+// of the file selects the format: svg, png or pdf.
 func (r *Report) Plot(path string) error {
 	if len(r.Results) == 0 {
 		return eris.New("nothing to plot")
@@ -56,7 +57,7 @@
 func (r *Report) plotWaiting() (*plot.Plot, error) {
 	p := newPlot("waiting p99 in ms")
 	for i := range r.Results {
-		if err := addLine(p, i, r.Results[i].Policy, r.Results[i].waits); err != nil {
+		if err := addLine(p, i, r.Results[i].Policy, r.Results[i].p99BySecond); err != nil {
 			return nil, err
 		}
 	}
@@ -66,7 +67,7 @@
 func (r *Report) plotRefusals() (*plot.Plot, error) {
 	p := newPlot("refused a second")
 	for i := range r.Results {
-		if err := addLine(p, i, r.Results[i].Policy, r.Results[i].refusals); err != nil {
+		if err := addLine(p, i, r.Results[i].Policy, r.Results[i].refusedBySecond); err != nil {
 			return nil, err
 		}
 	}
@@ -93,7 +94,7 @@
 	return p
 }
 
-// addLine draws one value a second; a series without values is left out.
+// addLine adds a line with one value per second. An empty series is skipped.
 func addLine(p *plot.Plot, i int, name string, values []float64) error {
 	if len(values) == 0 {
 		return nil
--- a/internal/replay/queued.go
+++ b/internal/replay/queued.go
@@ -10,43 +10,45 @@
 )
 
 type (
-	// line is a queue of requests before servers with a number of slots each.
-	line struct {
+	// slotQueue is a FIFO queue of requests that wait for slots of servers.
+	slotQueue struct {
 		run *run
-		// at is the entry that keeps the line; -1 if it is everywhere.
-		at    int
-		free  []int
-		wait  []*job
-		order [][]int
-		// refused, if set, is told of requests that are given up.
-		refused func(*job)
+		// entry is the entry that holds the queue; -1 if all entries share it.
+		entry       int
+		free        []int
+		waiting     []*job
+		serverOrder [][]int
+		// onRefuse, if not nil, is called with each refused request.
+		onRefuse func(*job)
 	}
 
-	// perfect is one line over all slots that every entry knows at once.
-	perfect struct{ *line }
-
-	// evenSplit is a line at each entry over its fixed part of the slots.
-	evenSplit struct{ lines []*line }
-
-	// handOn has a line at the home of each bucket, which alone sends to the
-	// bucket's servers. Entries hand their requests on to the homes.
-	handOn struct {
-		run    *run
-		lines  []*line
-		slots  []int
-		flight [][]int
+	// perfect is a single queue for all slots, shared by all entries without
+	// delay.
+	perfect struct{ *slotQueue }
+
+	// evenSplit has a queue at each entry for a fixed, equal share of the slots.
+	evenSplit struct{ queues []*slotQueue }
+
+	// oneHome has a queue at the home entry of each bucket, which is the only
+	// entry that sends to the bucket's servers. The other entries forward their
+	// requests to the home entries.
+	oneHome struct {
+		run      *run
+		queues   []*slotQueue
+		slots    []int
+		inFlight [][]int
 	}
 )
 
-func newLine(r *run, at int, slots func(server int) int) *line {
-	l := &line{run: r, at: at}
+func newSlotQueue(r *run, entry int, slots func(server int) int) *slotQueue {
+	q := &slotQueue{run: r, entry: entry}
 	for s := range r.servers {
-		l.free = append(l.free, slots(s))
+		q.free = append(q.free, slots(s))
 	}
-	for e := range r.dead {
-		l.order = append(l.order, nearestServers(r, e))
+	for e := range r.failed {
+		q.serverOrder = append(q.serverOrder, nearestServers(r, e))
 	}
-	return l
+	return q
 }
 
 func nearestServers(r *run, entry int) []int {
@@ -55,49 +57,49 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Compare(r.world.delay(entry, a), r.world.delay(entry, b))
+		return cmp.Compare(r.env.serverDelay(entry, a), r.env.serverDelay(entry, b))
 	})
 	return order
 }
 
-func (l *line) arrive(j *job) {
-	if len(l.wait) == 0 && l.start(j) {
+func (q *slotQueue) arrive(j *job) {
+	if len(q.waiting) == 0 && q.start(j) {
 		return
 	}
-	l.wait = append(l.wait, j)
-	l.run.at(l.run.lastStart(j), func() {
-		if i := slices.Index(l.wait, j); i >= 0 {
-			l.wait = slices.Delete(l.wait, i, i+1)
-			l.run.refuse(j)
-			if l.refused != nil {
-				l.refused(j)
+	q.waiting = append(q.waiting, j)
+	q.run.at(q.run.lastStart(j), func() {
+		if i := slices.Index(q.waiting, j); i >= 0 {
+			q.waiting = slices.Delete(q.waiting, i, i+1)
+			q.run.refuse(j)
+			if q.onRefuse != nil {
+				q.onRefuse(j)
 			}
 		}
 	})
 }
 
-func (l *line) start(j *job) bool {
-	for _, s := range l.order[j.sender] {
-		if l.free[s] > 0 {
-			l.free[s]--
-			l.run.send(j, s)
+func (q *slotQueue) start(j *job) bool {
+	for _, s := range q.serverOrder[j.sender] {
+		if q.free[s] > 0 {
+			q.free[s]--
+			q.run.send(j, s)
 			return true
 		}
 	}
 	return false
 }
 
-func (l *line) release(server int) {
-	l.free[server]++
-	for len(l.wait) > 0 && l.start(l.wait[0]) {
-		l.wait = l.wait[1:]
+func (q *slotQueue) release(server int) {
+	q.free[server]++
+	for len(q.waiting) > 0 && q.start(q.waiting[0]) {
+		q.waiting = q.waiting[1:]
 	}
 }
 
-func (l *line) drop(entry int) {
-	l.wait = slices.DeleteFunc(l.wait, func(j *job) bool {
-		if j.Entry == entry || l.at == entry {
-			l.run.result.lost++
+func (q *slotQueue) dropEntry(entry int) {
+	q.waiting = slices.DeleteFunc(q.waiting, func(j *job) bool {
+		if j.Entry == entry || q.entry == entry {
+			q.run.result.lost++
 			return true
 		}
 		return false
@@ -105,99 +107,99 @@
 }
 
 func (p *perfect) start(r *run) {
-	p.line = newLine(r, -1, func(s int) int { return r.servers[s].slots })
+	p.slotQueue = newSlotQueue(r, -1, func(s int) int { return r.servers[s].slots })
 }
 
-func (p *perfect) arrive(j *job)  { p.line.arrive(j) }
-func (p *perfect) done(j *job)    { p.release(j.server) }
-func (p *perfect) lose(entry int) { p.drop(entry) }
+func (p *perfect) arrive(j *job)         { p.slotQueue.arrive(j) }
+func (p *perfect) completed(j *job)      { p.release(j.server) }
+func (p *perfect) entryFailed(entry int) { p.dropEntry(entry) }
 
 func (e *evenSplit) start(r *run) {
-	for i := range r.dead {
-		e.lines = append(e.lines, newLine(r, i, func(s int) int {
-			return split.Share(r.world.Service.Servers[s].Name, r.servers[s].slots, len(r.dead), i)
+	for i := range r.failed {
+		e.queues = append(e.queues, newSlotQueue(r, i, func(s int) int {
+			return split.Share(r.env.Service.Servers[s].Name, r.servers[s].slots, len(r.failed), i)
 		}))
 	}
 }
 
-func (e *evenSplit) arrive(j *job)  { e.lines[j.Entry].arrive(j) }
-func (e *evenSplit) done(j *job)    { e.lines[j.sender].release(j.server) }
-func (e *evenSplit) lose(entry int) { e.lines[entry].drop(entry) }
+func (e *evenSplit) arrive(j *job)         { e.queues[j.Entry].arrive(j) }
+func (e *evenSplit) completed(j *job)      { e.queues[j.sender].release(j.server) }
+func (e *evenSplit) entryFailed(entry int) { e.queues[entry].dropEntry(entry) }
 
-func (h *handOn) start(r *run) {
+func (h *oneHome) start(r *run) {
 	h.run = r
-	home := bucketHomes(r.world, -1)
-	h.slots = make([]int, len(r.dead))
+	home := bucketHomes(r.env, -1)
+	h.slots = make([]int, len(r.failed))
 	for s := range r.servers {
-		h.slots[home[r.world.Service.Servers[s].Zone]] += r.servers[s].slots
+		h.slots[home[r.env.Service.Servers[s].Zone]] += r.servers[s].slots
 	}
-	for i := range r.dead {
-		h.flight = append(h.flight, make([]int, len(r.dead)))
-		l := newLine(r, i, func(s int) int {
-			if home[r.world.Service.Servers[s].Zone] == i {
+	for i := range r.failed {
+		h.inFlight = append(h.inFlight, make([]int, len(r.failed)))
+		q := newSlotQueue(r, i, func(s int) int {
+			if home[r.env.Service.Servers[s].Zone] == i {
 				return r.servers[s].slots
 			}
 			return 0
 		})
-		l.refused = h.back
-		h.lines = append(h.lines, l)
+		q.onRefuse = h.finished
+		h.queues = append(h.queues, q)
 	}
 }
 
-// arrive hands a request on to the home with most slots for what this entry
-// has under way there.
-func (h *handOn) arrive(j *job) {
+// arrive forwards a request to the home entry with the fewest requests in flight
+// from this entry per slot.
+func (h *oneHome) arrive(j *job) {
 	best, load := -1, 0.0
 	for home, slots := range h.slots {
-		if slots == 0 || h.run.dead[home] {
+		if slots == 0 || h.run.failed[home] {
 			continue
 		}
-		if at := float64(h.flight[j.Entry][home]+1) / float64(slots); best < 0 || at < load {
-			best, load = home, at
+		if l := float64(h.inFlight[j.Entry][home]+1) / float64(slots); best < 0 || l < load {
+			best, load = home, l
 		}
 	}
 	if best < 0 {
 		h.run.refuse(j)
 		return
 	}
-	h.flight[j.Entry][best]++
+	h.inFlight[j.Entry][best]++
 	j.sender = best
-	h.run.after(h.run.world.between(j.Entry, best), func() {
-		if h.run.dead[best] {
+	h.run.after(h.run.env.entryDelay(j.Entry, best), func() {
+		if h.run.failed[best] {
 			h.run.result.lost++
 			return
 		}
-		h.lines[best].arrive(j)
+		h.queues[best].arrive(j)
 	})
 }
 
-func (h *handOn) done(j *job) {
-	h.lines[j.sender].release(j.server)
-	h.run.after(h.run.world.between(j.Entry, j.sender), func() { h.back(j) })
+func (h *oneHome) completed(j *job) {
+	h.queues[j.sender].release(j.server)
+	h.run.after(h.run.env.entryDelay(j.Entry, j.sender), func() { h.finished(j) })
 }
 
-func (h *handOn) back(j *job) { h.flight[j.Entry][j.sender]-- }
+func (h *oneHome) finished(j *job) { h.inFlight[j.Entry][j.sender]-- }
 
-func (h *handOn) lose(entry int) { h.lines[entry].drop(entry) }
+func (h *oneHome) entryFailed(entry int) { h.queues[entry].dropEntry(entry) }
 
-// bucketHomes returns the entry that is home of each availability zone's
-// servers, when the skipped entry is lost.
-func bucketHomes(w *World, skip int) map[id.Zone]int {
+// bucketHomes returns the home entry of the servers of each availability zone. The
+// entry skip, if not -1, is excluded as failed.
+func bucketHomes(env *Environment, skip int) map[id.Zone]int {
 	var (
 		candidates []homes.Candidate
 		index      = map[id.Instance]int{}
 		out        = map[id.Zone]int{}
 	)
-	for i, e := range w.Deployment.Entries {
+	for i, e := range env.Deployment.Entries {
 		index[e.Name] = i
 		if i != skip {
-			region, _ := w.Deployment.Region(e.Zone)
+			region, _ := env.Deployment.Region(e.Zone)
 			candidates = append(candidates, homes.Candidate{Instance: e.Name, Zone: e.Zone, Region: region})
 		}
 	}
-	for _, r := range w.Deployment.Regions {
+	for _, r := range env.Deployment.Regions {
 		for _, z := range r.Zones {
-			home, _ := homes.Choose(homes.Bucket{Service: w.Service.Service, Zone: z, Region: r.Name}, candidates)
+			home, _ := homes.Choose(homes.Bucket{Service: env.Service.Service, Zone: z, Region: r.Name}, candidates)
 			out[z] = index[home]
 		}
 	}
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -16,78 +16,85 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// checkEvery is how often it is looked whether lost slots are back.
-const checkEvery = 100 * time.Millisecond
+// recoveryCheckInterval is the interval of checks whether the slots of a failed
+// entry have been recovered.
+const recoveryCheckInterval = 100 * time.Millisecond
 
 type (
-	// Policy names a policy and makes one.
+	// Policy is a named policy for dividing slots among entries.
 	Policy struct {
 		// Name is the policy's name in reports.
-		Name string
-		make func() policy
+		Name   string
+		create func() policy
 	}
 
-	// Options sets what a comparison plays besides the trace.
+	// Options holds the parameters of a comparison.
 	Options struct {
-		// Seed is for policies that choose at random.
+		// Seed is the seed of policies with random decisions.
 		Seed uint64
-		// Warmup is the first part of the trace that isn't counted.
+		// Warmup is the initial part of the trace that is not measured.
 		Warmup time.Duration
-		// Lose is when an entry is lost; 0 means never.
-		Lose time.Duration
-		// Lost is its place in the deployment.
-		Lost int
-		// Demand is the reserve of the shares policy.
+		// FailAt is the time at which an entry fails; 0 means never.
+		FailAt time.Duration
+		// FailedEntry is the index of that entry in the deployment.
+		FailedEntry int
+		// Demand is the demand policy of shares; the zero value means
+		// demand.Default.
 		Demand demand.Policy
 	}
 
-	// Report compares policies on one trace.
+	// Report holds the results of several policies on one trace.
 	Report struct {
-		// Requests is the number of requests of the trace.
+		// Requests is the number of requests in the trace.
 		Requests int `json:"requests"`
-		// Results has one result for each policy.
+		// Results holds the result of each policy.
 		Results []Result `json:"results"`
 	}
 
-	// Result is what one policy did.
+	// Result holds the measurements of one policy.
 	Result struct {
-		// Policy is its name.
+		// Policy is the policy's name.
 		Policy string `json:"policy"`
-		// Overloads counts arrivals at a server that held as many requests as
-		// it has slots.
+		// Overloads is the number of arrivals at servers whose slots were all
+		// in use.
 		Overloads int `json:"overloads"`
-		// Refused counts requests that got no slot in time.
+		// Refused is the number of requests that got no slot in time.
 		Refused int `json:"refused"`
-		// Late counts requests answered after their deadline.
+		// Late is the number of requests whose response came after their
+		// deadline.
 		Late int `json:"late"`
-		// Lost counts requests that ended with a lost entry.
+		// Lost is the number of requests lost with a failed entry.
 		Lost int `json:"lost"`
-		// Handed counts requests that another entry sent.
-		Handed int `json:"handed"`
-		// Messages counts messages between entries about slots.
+		// Forwarded is the number of requests sent to a server by another entry
+		// than the one at which they arrived.
+		Forwarded int `json:"handed"`
+		// Messages is the number of messages about slots between entries.
 		Messages int `json:"messages"`
-		// InUse is the share of slot time that sent requests held, 0 to 1.
+		// InUse is the mean fraction of slots held by requests that were sent
+		// and not yet answered, 0 to 1.
 		InUse float64 `json:"inUse"`
-		// Waiting is the time without a slot.
-		Waiting Percentiles `json:"waiting"`
-		// Whole is the time as a caller sees it.
-		Whole Percentiles `json:"whole"`
-		// Recovered is how long after the loss of an entry all slots could be
-		// used again; 0 if they couldn't or that isn't known of the policy.
-		Recovered unit.Duration `json:"recovered"`
+		// QueueTime is the time that requests waited for a slot, at entries and
+		// servers.
+		QueueTime Percentiles `json:"waiting"`
+		// Latency is the latency as measured by the callers.
+		Latency Percentiles `json:"whole"`
+		// RecoveryTime is the time from the failure of an entry until all slots
+		// were usable again; 0 if they never were or the policy does not report
+		// recovery.
+		RecoveryTime unit.Duration `json:"recovered"`
 
-		waits    []float64
-		refusals []float64
-		regions  []regionLoad
+		p99BySecond     []float64
+		refusedBySecond []float64
+		regions         []regionLoad
 	}
 
-	// regionLoad is the share of a region's slots in use by second.
+	// regionLoad holds the fraction of a region's slots in use in each second.
 	regionLoad struct {
 		name id.Region
 		load []float64
 	}
 
-	// Percentiles are of times.
+	// Percentiles holds percentiles of durations.
 	Percentiles struct {
 		// P50 is the median.
 		P50 unit.Duration `json:"p50"`
@@ -97,27 +104,27 @@
 		P999 unit.Duration `json:"p999"`
 	}
 
-	// recorder collects what happens.
+	// recorder collects the measurements of a run.
 	recorder struct {
-		warmup   time.Duration
-		waits    []time.Duration
-		wholes   []time.Duration
-		bySecond [][]time.Duration
-		refusals []float64
-		loads    map[id.Region][]float64
-		held     time.Duration
-		refused  int
-		late     int
-		lost     int
-		handed   int
-		overs    int
-		messages int
-		back     time.Duration
+		warmup        time.Duration
+		waits         []time.Duration
+		latencies     []time.Duration
+		waitsBySecond [][]time.Duration
+		refusals      []float64
+		loads         map[id.Region][]float64
+		slotTime      time.Duration
+		refused       int
+		late          int
+		lost          int
+		forwarded     int
+		overloads     int
+		messages      int
+		recoveryTime  time.Duration
 	}
 )
 
-// Policies returns all policies, the shares moved by demand last but one and
-// the perfect queue last.
+// Policies returns all policies. Shares is the last but one, the perfect queue the
+// last.
 func Policies() []Policy {
 	return []Policy{
 		{"random", func() policy { return &naive{choose: chooseRandom} }},
@@ -125,22 +132,24 @@
 		{"twoChoices", func() policy { return &naive{choose: chooseOfTwo} }},
 		{"leastInFlight", func() policy { return &naive{choose: chooseLeast} }},
 		{"evenSplit", func() policy { return &evenSplit{} }},
-		{"oneHome", func() policy { return &handOn{} }},
+		{"oneHome", func() policy { return &oneHome{} }},
 		Shares(),
 		{"perfectQueue", func() policy { return &perfect{} }},
 	}
 }
 
-// Shares returns the policy of the daemon, shares moved by demand.
+// Shares returns the policy of the daemon, which divides the slots by demand.
 func Shares() Policy { return Policy{"shares", func() policy { return &shares{} }} }
 
-// Compare plays the trace under each policy.
-func Compare(w *World, t *Trace, o Options, policies ...Policy) (*Report, error) {
-	if err := w.Check(t); err != nil {
+// Compare replays the trace with each policy. It returns an error if the trace does
+// not fit the environment or the entry that is to fail does not exist or is the
+// only one.
+func Compare(env *Environment, t *Trace, o Options, policies ...Policy) (*Report, error) {
+	if err := env.Check(t); err != nil {
 		return nil, err
 	}
-	if o.Lose > 0 && (o.Lost < 0 || o.Lost >= len(w.Deployment.Entries) || len(w.Deployment.Entries) < 2) {
-		return nil, eris.Errorf("entry %d can't be lost", o.Lost)
+	if o.FailAt > 0 && (o.FailedEntry < 0 || o.FailedEntry >= len(env.Deployment.Entries) || len(env.Deployment.Entries) < 2) {
+		return nil, eris.Errorf("entry %d can't fail: not in the deployment, or its only entry", o.FailedEntry)
 	}
 	if o.Demand == (demand.Policy{}) {
 		o.Demand = demand.Default()
@@ -148,33 +157,33 @@
 	report := &Report{Requests: len(t.Requests)}
 	for _, p := range policies {
 		r := &run{
-			world: w, options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), policy: p.make(),
-			dead: make([]bool, len(w.Deployment.Entries)), give: meanWork(t, len(w.Service.Classes)),
+			env: env, options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), policy: p.create(),
+			failed: make([]bool, len(env.Deployment.Entries)), meanServiceTime: meanServiceTimes(t, len(env.Service.Classes)),
 		}
 		r.result.warmup, r.result.loads = o.Warmup, map[id.Region][]float64{}
 		slots := 0
-		for i := range w.Service.Servers {
-			r.servers = append(r.servers, &server{slots: w.Service.Servers[i].Slots})
-			slots += w.Service.Servers[i].Slots
+		for i := range env.Service.Servers {
+			r.servers = append(r.servers, &server{slots: env.Service.Servers[i].Slots})
+			slots += env.Service.Servers[i].Slots
 		}
-		r.watch()
-		r.play(t)
+		r.watchRecovery()
+		r.replay(t)
 		result := r.result.result(p.Name, r.end-o.Warmup, slots)
-		result.regions = r.loads()
+		result.regions = r.regionLoads()
 		report.Results = append(report.Results, result)
 	}
 	return report, nil
 }
 
-// loads returns the load by region, in the order of the deployment.
-func (r *run) loads() []regionLoad {
+// regionLoads returns the load of each region, in the order of the deployment.
+func (r *run) regionLoads() []regionLoad {
 	slots := map[id.Region]int{}
-	for _, s := range r.world.Service.Servers {
-		region, _ := r.world.Deployment.Region(s.Zone)
+	for _, s := range r.env.Service.Servers {
+		region, _ := r.env.Deployment.Region(s.Zone)
 		slots[region] += s.Slots
 	}
 	var out []regionLoad
-	for _, region := range r.world.Deployment.Regions {
+	for _, region := range r.env.Deployment.Regions {
 		series := r.result.loads[region.Name]
 		for i := range series {
 			series[i] /= float64(max(slots[region.Name], 1))
@@ -184,48 +193,49 @@
 	return out
 }
 
-// watch notes when the slots of a lost entry are back.
-func (r *run) watch() {
+// watchRecovery records the time at which the slots of a failed entry have been
+// recovered.
+func (r *run) watchRecovery() {
 	s, ok := r.policy.(interface{ recovered() bool })
-	if !ok || r.options.Lose == 0 {
+	if !ok || r.options.FailAt == 0 {
 		return
 	}
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if s.recovered() {
-			r.result.back = r.now - r.options.Lose
+			r.result.recoveryTime = r.now - r.options.FailAt
 		} else if r.now < r.end {
-			r.after(checkEvery, look)
+			r.after(recoveryCheckInterval, check)
 		}
 	}
-	r.at(r.options.Lose+checkEvery, look)
+	r.at(r.options.FailAt+recoveryCheckInterval, check)
 }
 
-func (c *recorder) served(j *job, now, whole time.Duration, handed bool) {
+func (c *recorder) served(j *job, now, latency time.Duration, forwarded bool) {
 	if now < c.warmup {
 		return
 	}
 	c.load(j, now)
-	c.held += now - max(j.sent, c.warmup)
+	c.slotTime += now - max(j.sent, c.warmup)
 	if j.At < c.warmup {
 		return
 	}
 	c.waits = append(c.waits, j.waited)
-	c.wholes = append(c.wholes, whole)
+	c.latencies = append(c.latencies, latency)
 	second := int(j.At / time.Second)
-	for len(c.bySecond) <= second {
-		c.bySecond = append(c.bySecond, nil)
+	for len(c.waitsBySecond) <= second {
+		c.waitsBySecond = append(c.waitsBySecond, nil)
 	}
-	c.bySecond[second] = append(c.bySecond[second], j.waited)
+	c.waitsBySecond[second] = append(c.waitsBySecond[second], j.waited)
 	if now > j.deadline {
 		c.late++
 	}
-	if handed {
-		c.handed++
+	if forwarded {
+		c.forwarded++
 	}
 }
 
-// load spreads the time that a request held its slot over the seconds.
+// load adds the time that a request held its slot to the seconds it falls into.
 func (c *recorder) load(j *job, now time.Duration) {
 	series := c.loads[j.region]
 	for from := j.sent; from < now; {
@@ -256,23 +266,23 @@
 
 func (c *recorder) overload(now time.Duration) {
 	if now >= c.warmup {
-		c.overs++
+		c.overloads++
 	}
 }
 
 func (c *recorder) result(name string, length time.Duration, slots int) Result {
 	out := Result{
-		Policy: name, Overloads: c.overs, Refused: c.refused, Late: c.late, Lost: c.lost,
-		Handed: c.handed, Messages: c.messages, Waiting: percentiles(c.waits), Whole: percentiles(c.wholes),
-		Recovered: unit.Duration(c.back),
+		Policy: name, Overloads: c.overloads, Refused: c.refused, Late: c.late, Lost: c.lost,
+		Forwarded: c.forwarded, Messages: c.messages, QueueTime: percentiles(c.waits), Latency: percentiles(c.latencies),
+		RecoveryTime: unit.Duration(c.recoveryTime),
 	}
 	if length > 0 && slots > 0 {
-		out.InUse = c.held.Seconds() / (length.Seconds() * float64(slots))
+		out.InUse = c.slotTime.Seconds() / (length.Seconds() * float64(slots))
 	}
-	for _, second := range c.bySecond {
-		out.waits = append(out.waits, percentiles(second).P99.Std().Seconds()*1000)
+	for _, second := range c.waitsBySecond {
+		out.p99BySecond = append(out.p99BySecond, percentiles(second).P99.Std().Seconds()*1000)
 	}
-	out.refusals = c.refusals
+	out.refusedBySecond = c.refusals
 	return out
 }
 
@@ -296,8 +306,8 @@
 	for i := range r.Results {
 		v := &r.Results[i]
 		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f%%\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
-			v.Policy, v.Overloads, v.Refused, v.Late, v.Lost, v.Handed, v.Messages, v.InUse*100,
-			v.Waiting.P50, v.Waiting.P99, v.Waiting.P999, v.Whole.P50, v.Whole.P99, v.Whole.P999, v.Recovered)
+			v.Policy, v.Overloads, v.Refused, v.Late, v.Lost, v.Forwarded, v.Messages, v.InUse*100,
+			v.QueueTime.P50, v.QueueTime.P99, v.QueueTime.P999, v.Latency.P50, v.Latency.P99, v.Latency.P999, v.RecoveryTime)
 	}
 	return eris.Wrap(out.Flush(), "report")
 }
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -9,33 +9,33 @@
 )
 
 type (
-	// run is one trace under one policy.
+	// run is the replay of one trace with one policy.
 	run struct {
-		world   *World
-		options Options
-		rng     *rand.Rand
-		now     time.Duration
-		end     time.Duration
-		events  events
-		count   uint64
-		servers []*server
-		dead    []bool
-		give    []time.Duration
-		policy  policy
-		result  recorder
+		env             *Environment
+		options         Options
+		rng             *rand.Rand
+		now             time.Duration
+		end             time.Duration
+		events          events
+		count           uint64
+		servers         []*server
+		failed          []bool
+		meanServiceTime []time.Duration
+		policy          policy
+		result          recorder
 	}
 
-	// policy decides where requests go.
+	// policy decides which entry sends a request, to which server and when.
 	policy interface {
 		// start is called once, before the first arrival.
 		start(*run)
-		// arrive is called with a request that has reached its entry.
+		// arrive is called when a request arrives at its entry.
 		arrive(*job)
-		// done is called when the answer of a request is back at the entry
-		// that sent it; its slot is free.
-		done(*job)
-		// lose is called when an entry is lost.
-		lose(entry int)
+		// completed is called when the response to a request reaches the entry
+		// that sent it. The slot is free from then on.
+		completed(*job)
+		// entryFailed is called when an entry fails.
+		entryFailed(entry int)
 	}
 
 	server struct {
@@ -44,17 +44,17 @@
 		queue   []*job
 	}
 
-	// job is a request on its way.
+	// job is a request being processed.
 	job struct {
 		Request
 		deadline time.Duration
-		// sender is the entry that sends it to a server.
+		// sender is the entry that sends the request to a server.
 		sender int
 		server int
 		region id.Region
 		sent   time.Duration
 		waited time.Duration
-		gone   bool
+		ended  bool
 	}
 
 	event struct {
@@ -66,7 +66,7 @@
 	events []event
 )
 
-// at calls do at the given time; calls for one time keep their order.
+// at schedules a call of do. Calls scheduled for the same time keep their order.
 func (r *run) at(when time.Duration, do func()) {
 	r.count++
 	heap.Push(&r.events, event{max(when, r.now), r.count, do})
@@ -74,12 +74,12 @@
 
 func (r *run) after(d time.Duration, do func()) { r.at(r.now+d, do) }
 
-func (r *run) play(t *Trace) {
+func (r *run) replay(t *Trace) {
 	r.policy.start(r)
-	if r.options.Lose > 0 {
-		r.at(r.options.Lose, func() {
-			r.dead[r.options.Lost] = true
-			r.policy.lose(r.options.Lost)
+	if r.options.FailAt > 0 {
+		r.at(r.options.FailAt, func() {
+			r.failed[r.options.FailedEntry] = true
+			r.policy.entryFailed(r.options.FailedEntry)
 		})
 	}
 	for i := range t.Requests {
@@ -97,11 +97,12 @@
 	}
 }
 
-// arrive takes a request at its entry, or at the next one that lives.
+// arrive passes a request to the policy at its entry or, if that has failed, at the
+// next entry that has not.
 func (r *run) arrive(req *Request) {
-	j := &job{Request: *req, deadline: r.now + r.world.Service.Classes[req.Class].Deadline.Std()}
-	for r.dead[j.Entry] {
-		j.Entry = (j.Entry + 1) % len(r.dead)
+	j := &job{Request: *req, deadline: r.now + r.env.Service.Classes[req.Class].Deadline.Std()}
+	for r.failed[j.Entry] {
+		j.Entry = (j.Entry + 1) % len(r.failed)
 	}
 	j.sender = j.Entry
 	r.policy.arrive(j)
@@ -110,9 +111,9 @@
 // send sends a request from its sender to a server.
 func (r *run) send(j *job, s int) {
 	j.server, j.sent = s, r.now
-	j.region, _ = r.world.Deployment.Region(r.world.Service.Servers[s].Zone)
-	j.waited += r.now - j.At - r.world.between(j.Entry, j.sender)
-	r.after(r.world.delay(j.sender, s), func() { r.receive(j) })
+	j.region, _ = r.env.Deployment.Region(r.env.Service.Servers[s].Zone)
+	j.waited += r.now - j.At - r.env.entryDelay(j.Entry, j.sender)
+	r.after(r.env.serverDelay(j.sender, s), func() { r.receive(j) })
 }
 
 func (r *run) receive(j *job) {
@@ -128,7 +129,7 @@
 
 func (r *run) serve(j *job, s *server) {
 	s.running++
-	r.after(j.Work, func() {
+	r.after(j.ServiceTime, func() {
 		s.running--
 		if len(s.queue) > 0 {
 			next := s.queue[0]
@@ -136,34 +137,35 @@
 			next.waited += r.now
 			r.serve(next, s)
 		}
-		r.after(r.world.delay(j.sender, j.server), func() { r.answered(j) })
+		r.after(r.env.serverDelay(j.sender, j.server), func() { r.handleResponse(j) })
 	})
 }
 
-func (r *run) answered(j *job) {
-	if r.dead[j.sender] || r.dead[j.Entry] {
+func (r *run) handleResponse(j *job) {
+	if r.failed[j.sender] || r.failed[j.Entry] {
 		r.result.lost++
 		return
 	}
-	whole := r.now - j.At + r.world.between(j.sender, j.Entry) + 2*r.world.Deployment.Delays.Clients.Std()
-	r.result.served(j, r.now, whole, j.sender != j.Entry)
-	r.policy.done(j)
+	latency := r.now - j.At + r.env.entryDelay(j.sender, j.Entry) + 2*r.env.Deployment.Delays.Clients.Std()
+	r.result.served(j, r.now, latency, j.sender != j.Entry)
+	r.policy.completed(j)
 }
 
-// lastStart returns when a request must have started to be served in time.
-func (r *run) lastStart(j *job) time.Duration { return j.deadline - r.give[j.Class] }
+// lastStart returns the latest time at which a request can be sent and, with the
+// mean service time of its class, still meet its deadline.
+func (r *run) lastStart(j *job) time.Duration { return j.deadline - r.meanServiceTime[j.Class] }
 
-// refuse gives a request up.
+// refuse ends a request that got no slot in time.
 func (r *run) refuse(j *job) {
-	j.gone = true
+	j.ended = true
 	r.result.refuse(j, r.now)
 }
 
-// meanWork returns the mean work by class.
-func meanWork(t *Trace, classes int) []time.Duration {
+// meanServiceTimes returns the mean service time of each class.
+func meanServiceTimes(t *Trace, classes int) []time.Duration {
 	sum, n := make([]time.Duration, classes), make([]int, classes)
 	for i := range t.Requests {
-		sum[t.Requests[i].Class] += t.Requests[i].Work
+		sum[t.Requests[i].Class] += t.Requests[i].ServiceTime
 		n[t.Requests[i].Class]++
 	}
 	for i := range sum {
--- a/internal/replay/shares.go
+++ b/internal/replay/shares.go
@@ -13,104 +13,106 @@
 )
 
 const (
-	grantLifetime = 2 * time.Second
-	grantRenew    = 500 * time.Millisecond
-	grantMargin   = 500 * time.Millisecond
-	stepEvery     = 10 * time.Millisecond
-	authorityFor  = time.Second
-	leaseLapse    = 3 * time.Second
-	storeWrite    = 30 * time.Millisecond
+	grantLifetime  = 2 * time.Second
+	renewInterval  = 500 * time.Millisecond
+	grantMargin    = 500 * time.Millisecond
+	stepInterval   = 10 * time.Millisecond
+	authorityTime  = time.Second
+	leaseTimeout   = 3 * time.Second
+	storeWriteTime = 30 * time.Millisecond
 )
 
 type (
-	// shares moves slots between the entries by demand.
+	// shares divides the slots among the entries by demand, with grants from the
+	// home entry of each bucket.
 	shares struct {
-		run     *run
-		entries []*sharer
-		index   map[id.Instance]int
-		terms   map[wire.Bucket]id.Term
-		homes   map[wire.Bucket]int
-		raising map[wire.Bucket]bool
+		run           *run
+		entries       []*sharesEntry
+		index         map[id.Instance]int
+		terms         map[wire.Bucket]id.Term
+		homes         map[wire.Bucket]int
+		termRequested map[wire.Bucket]bool
 	}
 
-	// sharer is one entry.
-	sharer struct {
+	// sharesEntry is a simulated entry.
+	sharesEntry struct {
 		*shares
-		self  int
-		node  node.Node
-		gates map[id.Server]*gate.Gate
-		wait  []*job
-		order []int
+		self        int
+		node        node.Node
+		gates       map[id.Server]*gate.Gate
+		waiting     []*job
+		serverOrder []int
 	}
 )
 
 func (p *shares) start(r *run) {
 	p.run = r
 	p.index, p.terms, p.homes = map[id.Instance]int{}, map[wire.Bucket]id.Term{}, map[wire.Bucket]int{}
-	p.raising = map[wire.Bucket]bool{}
-	for zone, home := range bucketHomes(r.world, -1) {
-		key := wire.Bucket{Service: r.world.Service.Service, Zone: zone}
+	p.termRequested = map[wire.Bucket]bool{}
+	for zone, home := range bucketHomes(r.env, -1) {
+		key := wire.Bucket{Service: r.env.Service.Service, Zone: zone}
 		p.homes[key], p.terms[key] = home, 1
 	}
-	for i, e := range r.world.Deployment.Entries {
+	for i, e := range r.env.Deployment.Entries {
 		p.index[e.Name] = i
-		p.entries = append(p.entries, p.newSharer(i))
+		p.entries = append(p.entries, p.newEntry(i))
 	}
 	for i, e := range p.entries {
-		r.at(stepEvery*time.Duration(i)/time.Duration(len(p.entries)), e.tick)
+		r.at(stepInterval*time.Duration(i)/time.Duration(len(p.entries)), e.tick)
 	}
 }
 
-func (p *shares) newSharer(i int) *sharer {
-	w := p.run.world
-	e := &sharer{shares: p, self: i, gates: map[id.Server]*gate.Gate{}, order: nearestServers(p.run, i)}
-	for _, s := range w.Service.Servers {
+func (p *shares) newEntry(i int) *sharesEntry {
+	env := p.run.env
+	e := &sharesEntry{shares: p, self: i, gates: map[id.Server]*gate.Gate{}, serverOrder: nearestServers(p.run, i)}
+	for _, s := range env.Service.Servers {
 		e.gates[s.Name] = new(gate.Gate)
 	}
 	e.node = node.Node{
-		Self:     peer.Sender{Instance: w.Deployment.Entries[i].Name, Incarnation: 1},
+		Self:     peer.Sender{Instance: env.Deployment.Entries[i].Name, Incarnation: 1},
 		Homes:    e,
 		Gate:     func(_ id.Service, s id.Server) *gate.Gate { return e.gates[s] },
-		Offer:    func(id.Service, id.Server) { e.offer() },
-		Waiting:  func(id.Service) int { return len(e.wait) },
-		Distance: func(z id.Zone) time.Duration { return w.Deployment.Delay(w.Deployment.Entries[i].Zone, z) },
-		Lifetime: grantLifetime, Renew: grantRenew, Demand: p.run.options.Demand,
+		Offer:    func(id.Service, id.Server) { e.startWaiting() },
+		Waiting:  func(id.Service) int { return len(e.waiting) },
+		Distance: func(z id.Zone) time.Duration { return env.Deployment.Delay(env.Deployment.Entries[i].Zone, z) },
+		Lifetime: grantLifetime, Renew: renewInterval, Demand: p.run.options.Demand,
 	}
-	e.node.Configure(node.Plan([]*service.File{w.Service}, len(w.Deployment.Entries), grantMargin), 0)
+	e.node.Configure(node.Plan([]*service.File{env.Service}, len(env.Deployment.Entries), grantMargin), 0)
 	return e
 }
 
 func (p *shares) arrive(j *job) {
 	e := p.entries[j.Entry]
-	if len(e.wait) == 0 && e.begin(j) {
+	if len(e.waiting) == 0 && e.startRequest(j) {
 		return
 	}
-	e.wait = append(e.wait, j)
+	e.waiting = append(e.waiting, j)
 	p.run.at(p.run.lastStart(j), func() {
-		if i := slices.Index(e.wait, j); i >= 0 {
-			e.wait = slices.Delete(e.wait, i, i+1)
+		if i := slices.Index(e.waiting, j); i >= 0 {
+			e.waiting = slices.Delete(e.waiting, i, i+1)
 			p.run.refuse(j)
 		}
 	})
 	e.step()
 }
 
-func (p *shares) done(j *job) {
+func (p *shares) completed(j *job) {
 	e := p.entries[j.sender]
-	e.gates[p.run.world.Service.Servers[j.server].Name].Release()
-	e.offer()
+	e.gates[p.run.env.Service.Servers[j.server].Name].Release()
+	e.startWaiting()
 }
 
-// lose gives the buckets of the lost entry to others once its leases lapse.
-func (p *shares) lose(entry int) {
-	for _, j := range p.entries[entry].wait {
-		j.gone = true
+// entryFailed assigns the buckets of the failed entry to other home entries after
+// its leases have expired.
+func (p *shares) entryFailed(entry int) {
+	for _, j := range p.entries[entry].waiting {
+		j.ended = true
 		p.run.result.lost++
 	}
-	p.entries[entry].wait = nil
-	p.run.after(leaseLapse, func() {
-		for zone, home := range bucketHomes(p.run.world, entry) {
-			key := wire.Bucket{Service: p.run.world.Service.Service, Zone: zone}
+	p.entries[entry].waiting = nil
+	p.run.after(leaseTimeout, func() {
+		for zone, home := range bucketHomes(p.run.env, entry) {
+			key := wire.Bucket{Service: p.run.env.Service.Service, Zone: zone}
 			if p.homes[key] == entry {
 				p.homes[key] = home
 				p.terms[key]++
@@ -119,32 +121,33 @@
 	})
 }
 
-// recovered tells whether all slots are free or with living entries.
+// recovered reports whether the grants of the failed entry have expired, every
+// bucket has a live home entry, and every slot is available to a live entry.
 func (p *shares) recovered() bool {
 	reserved, homes := 0, 0
 	for i, e := range p.entries {
-		if !p.run.dead[i] {
+		if !p.run.failed[i] {
 			slots, n := e.node.Reserved(p.run.now)
 			reserved += slots
 			homes += n
 		}
 	}
-	return reserved == 0 && homes == len(p.homes) && p.run.now > p.run.options.Lose+grantLifetime
+	return reserved == 0 && homes == len(p.homes) && p.run.now > p.run.options.FailAt+grantLifetime
 }
 
-func (e *sharer) tick() {
-	if e.run.dead[e.self] {
+func (e *sharesEntry) tick() {
+	if e.run.failed[e.self] {
 		return
 	}
 	e.step()
-	if e.run.now < e.run.end || len(e.wait) > 0 {
-		e.run.after(stepEvery, e.tick)
+	if e.run.now < e.run.end || len(e.waiting) > 0 {
+		e.run.after(stepInterval, e.tick)
 	}
 }
 
-func (e *sharer) begin(j *job) bool {
-	for _, s := range e.order {
-		if e.gates[e.run.world.Service.Servers[s].Name].Acquire(e.run.now) {
+func (e *sharesEntry) startRequest(j *job) bool {
+	for _, s := range e.serverOrder {
+		if e.gates[e.run.env.Service.Servers[s].Name].Acquire(e.run.now) {
 			e.run.send(j, s)
 			return true
 		}
@@ -152,25 +155,26 @@
 	return false
 }
 
-func (e *sharer) offer() {
-	for len(e.wait) > 0 && e.begin(e.wait[0]) {
-		e.wait = e.wait[1:]
+func (e *sharesEntry) startWaiting() {
+	for len(e.waiting) > 0 && e.startRequest(e.waiting[0]) {
+		e.waiting = e.waiting[1:]
 	}
 }
 
-func (e *sharer) step() {
+func (e *sharesEntry) step() {
 	for _, s := range e.node.Step(e.run.now) {
-		e.carry(s)
+		e.deliver(s)
 	}
 }
 
-// carry takes a message to its receiver and the answer back.
-func (e *sharer) carry(s node.Send) {
+// deliver delivers a message and its answer, each after the network delay. A report
+// without an answer within renewInterval counts as failed.
+func (e *sharesEntry) deliver(s node.Send) {
 	to := e.index[s.To.Instance]
-	other, delay := e.entries[to], e.run.world.between(e.self, to)
+	other, delay := e.entries[to], e.run.env.entryDelay(e.self, to)
 	answered := false
 	if s.Report != nil {
-		e.run.after(grantRenew, func() {
+		e.run.after(renewInterval, func() {
 			if !answered {
 				e.node.Answered(s.Report, nil, e.run.now)
 			}
@@ -178,7 +182,7 @@
 	}
 	e.run.result.messages++
 	e.run.after(delay, func() {
-		if e.run.dead[to] {
+		if e.run.failed[to] {
 			return
 		}
 		if s.Report != nil {
@@ -190,25 +194,25 @@
 			return
 		}
 		e.run.after(delay, func() {
-			if e.run.dead[e.self] {
+			if e.run.failed[e.self] {
 				return
 			}
 			if next, more := e.node.Pushed(s.To, &r, e.run.now); more {
-				e.carry(next)
+				e.deliver(next)
 			}
 			e.step()
 		})
 	})
 }
 
-func (e *sharer) answerReport(other *sharer, s node.Send, delay time.Duration, answered *bool) {
+func (e *sharesEntry) answerReport(other *sharesEntry, s node.Send, delay time.Duration, answered *bool) {
 	grant, err := other.node.Report(e.node.Self, s.Report, e.run.now)
 	if err != nil {
 		return
 	}
 	other.step()
 	e.run.after(delay, func() {
-		if !e.run.dead[e.self] {
+		if !e.run.failed[e.self] {
 			*answered = true
 			e.node.Answered(s.Report, &grant, e.run.now)
 			e.step()
@@ -217,26 +221,26 @@
 }
 
 // Home implements node.Homes.
-func (e *sharer) Home(b wire.Bucket) (id.Instance, id.Term, bool) {
-	return e.run.world.Deployment.Entries[e.homes[b]].Name, e.terms[b], true
+func (e *sharesEntry) Home(b wire.Bucket) (id.Instance, id.Term, bool) {
+	return e.run.env.Deployment.Entries[e.homes[b]].Name, e.terms[b], true
 }
 
 // Authority implements node.Homes.
-func (e *sharer) Authority(b wire.Bucket) (id.Term, time.Duration, bool) {
-	return e.terms[b], e.run.now + authorityFor, e.homes[b] == e.self
+func (e *sharesEntry) Authority(b wire.Bucket) (id.Term, time.Duration, bool) {
+	return e.terms[b], e.run.now + authorityTime, e.homes[b] == e.self
 }
 
-// Confirmed implements node.Homes; no store is asked in a replay.
-func (e *sharer) Confirmed(wire.Bucket) (id.Term, time.Duration, bool) { return 0, 0, false }
+// Confirmed implements node.Homes. It never confirms, as a replay has no store.
+func (e *sharesEntry) Confirmed(wire.Bucket) (id.Term, time.Duration, bool) { return 0, 0, false }
 
 // Raise implements node.Homes.
-func (e *sharer) Raise(b wire.Bucket) {
-	if e.raising[b] {
+func (e *sharesEntry) Raise(b wire.Bucket) {
+	if e.termRequested[b] {
 		return
 	}
-	e.raising[b] = true
-	e.run.after(storeWrite, func() {
-		e.raising[b] = false
+	e.termRequested[b] = true
+	e.run.after(storeWriteTime, func() {
+		e.termRequested[b] = false
 		if e.homes[b] == e.self {
 			e.terms[b]++
 		}
