--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -7,94 +7,97 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bounds and sizes of the target.
+// Limits and sizes of the target deployment.
 const (
-	// NodeBytes is what a node may send a second for control.
-	NodeBytes = 18_000.0
-	// NodeMicros is the processor time that a node may spend a second for
-	// control, in microseconds.
-	NodeMicros = 11_000.0
+	// MaxNodeBytesPerSecond is the limit of control traffic that a node sends.
+	MaxNodeBytesPerSecond = 18_000.0
+	// MaxNodeMicrosPerSecond is the limit of processor time that a node spends on
+	// control traffic, in microseconds per second.
+	MaxNodeMicrosPerSecond = 11_000.0
 
-	changesSecond = 12_000.0 / 86_400
-	reportsSecond = 0.5 // of each holder to the home of each bucket, at rest
-	targetBuckets = 2_100
-	fewHolders    = 10
-	ringPeers     = 3
-	callBytes     = 66 // two digests
-	todaysPeers   = 6
-	todaysBuckets = 12
+	changesPerSecond = 12_000.0 / 86_400
+	reportsPerSecond = 0.5 // from each holder to the home of each bucket, without changes in demand
+	targetBuckets    = 2_100
+	fewHolders       = 10
+	ringPeers        = 3
+	digestsBytes     = 66 // a call with two digests
+	currentPeers     = 6
+	currentBuckets   = 12
 )
 
-// Quantities and sizes that sums are worked out from.
+// Names of the quantities and sizes from which Sums computes the costs.
 const (
-	quantityBeatWire     = "one exchange of beats, both directions on the wire, B"
-	quantityBeatCost     = "one exchange of beats, both ends, processor us"
-	quantityReport       = "report and grant, B"
-	quantityAnswer       = "one report answered, codec included, processor us"
-	quantityCall         = "one call, both ends, processor us"
-	quantityCallWire     = "one call with an empty answer, both directions on the wire, B"
-	quantityPublication  = "publication B"
-	quantityDecode       = "decode and check, processor us"
-	quantityEpoch        = "epoch message B"
-	quantityApply        = "apply one change, processor us"
-	quantityFingerprints = "comparison B, both ways"
-	sizeServices         = "services of 20 servers"
+	quantityHeartbeatWire = "one exchange of beats, both directions on the wire, B"
+	quantityHeartbeatCost = "one exchange of beats, both ends, processor us"
+	quantityReport        = "report and grant, B"
+	quantityAnswer        = "one report answered, codec included, processor us"
+	quantityCall          = "one call, both ends, processor us"
+	quantityCallWire      = "one call with an empty answer, both directions on the wire, B"
+	quantityPublication   = "publication B"
+	quantityDecode        = "decode and check, processor us"
+	quantityEpoch         = "epoch message B"
+	quantityApply         = "apply one change, processor us"
+	quantityFingerprints  = "comparison B, both ways"
+	sizeServices          = "services of 20 servers"
 )
 
 type (
-	// Sum is what one mechanism costs a node, worked out from lines.
+	// Sum is the cost of one mechanism for a node, computed from fitted lines.
 	Sum struct {
-		// What names the mechanism and its size.
-		What string `json:"what"`
-		// Built tells whether the daemons do it so.
-		Built bool `json:"built"`
-		// Bytes is what the node sends a second.
+		// Mechanism is the name of the mechanism, with its size.
+		Mechanism string `json:"what"`
+		// Implemented reports whether the daemon uses the mechanism. The others
+		// are alternatives for comparison.
+		Implemented bool `json:"built"`
+		// Bytes is the traffic that the node sends, in bytes per second.
 		Bytes float64 `json:"bytes"`
-		// Micros is the processor time a second, in microseconds.
+		// Micros is the processor time, in microseconds per second.
 		Micros float64 `json:"micros"`
 	}
 
-	// lines finds fitted lines. The first that is missing is kept.
+	// lines looks up fitted lines and records the first that is missing.
 	lines struct {
 		results []Result
 		missing string
 	}
 )
 
-// Sums works out from the results of all measures what each mechanism costs a
-// node at the target's size, and at today's. It returns an error if a measure
-// is missing.
+// Sums computes the cost of each mechanism for a node from the results of all
+// measures, at the size of the target deployment and of current deployments. It
+// returns an error if the result of a measure is missing.
 func Sums(results []Result) ([]Sum, error) {
 	l := &lines{results: results}
-	beats := func(n, rate, heard float64) (bytes, micros float64) {
-		return rate * n * l.at("membership", quantityBeatWire, "", heard), rate * n * l.at("membership", quantityBeatCost, "", heard)
+	heartbeats := func(n, rate, peers float64) (bytes, micros float64) {
+		return rate * n * l.at("membership", quantityHeartbeatWire, "", peers), rate * n * l.at("membership", quantityHeartbeatCost, "", peers)
 	}
 	reports := func(rate, holders, servers float64) (bytes, micros float64) {
 		size := l.at("home", quantityReport, "", servers)
-		framed := l.at("between entries", quantityCallWire, "", size)
-		return rate * framed, rate * (l.at("home", quantityAnswer, "holders", holders) + l.at("between entries", quantityCall, "", size))
+		wire := l.at("between entries", quantityCallWire, "", size)
+		return rate * wire, rate * (l.at("home", quantityAnswer, "holders", holders) + l.at("between entries", quantityCall, "", size))
 	}
-	compared := func(rate, size float64) (bytes, micros float64) {
+	exchanges := func(rate, size float64) (bytes, micros float64) {
 		return rate * l.at("between entries", quantityCallWire, "", size), rate * l.at("between entries", quantityCall, "", size)
 	}
 	sum := func(what string, built bool) func(bytes, micros float64) Sum {
-		return func(bytes, micros float64) Sum { return Sum{What: what, Built: built, Bytes: bytes, Micros: micros} }
+		return func(bytes, micros float64) Sum {
+			return Sum{Mechanism: what, Implemented: built, Bytes: bytes, Micros: micros}
+		}
 	}
-	buckets := func(holders float64) float64 { return reportsSecond * targetBuckets * holders / targetNodes }
+	reportRate := func(holders float64) float64 { return reportsPerSecond * targetBuckets * holders / targetNodes }
 	out := []Sum{
-		sum("beats twice a second to all 165 of a zone", true)(beats(zonePeers, 2, zonePeers)),
-		sum("beats once a second to 3 neighbours on a ring", false)(beats(ringPeers, 1, 2*ringPeers)),
+		sum("beats twice a second to all 165 of a zone", true)(heartbeats(zonePeers, 2, zonePeers)),
+		sum("beats once a second to 3 neighbours on a ring", false)(heartbeats(ringPeers, 1, 2*ringPeers)),
 		sum("whole publications, received", true)(l.publications()),
 		sum("epochs to 8 children", false)(l.epochs()),
-		sum("reports on slots, all of a zone hold a bucket", true)(reports(buckets(zonePeers), zonePeers, bucketServers)),
-		sum("reports on slots, 10 holders a bucket", false)(reports(buckets(fewHolders), fewHolders, bucketServers)),
-		sum("digests of notices every 2 s", true)(compared(0.5, callBytes)),
-		sum("fingerprints every 10 s, 10 of them", true)(compared(0.1, l.at("quarantine", quantityFingerprints, "", 10))),
-		sum("today: beats to 6 others", true)(beats(todaysPeers, 2, todaysPeers)),
-		sum("today: reports on 12 buckets of 3.5 servers", true)(reports(reportsSecond*todaysBuckets*todaysPeers/(todaysPeers+1.0), todaysPeers+1, 3.5)),
+		sum("reports on slots, all of a zone hold a bucket", true)(reports(reportRate(zonePeers), zonePeers, bucketServers)),
+		sum("reports on slots, 10 holders a bucket", false)(reports(reportRate(fewHolders), fewHolders, bucketServers)),
+		sum("digests of notices every 2 s", true)(exchanges(0.5, digestsBytes)),
+		sum("fingerprints every 10 s, 10 of them", true)(exchanges(0.1, l.at("quarantine", quantityFingerprints, "", 10))),
+		sum("today: beats to 6 others", true)(heartbeats(currentPeers, 2, currentPeers)),
+		sum("today: reports on 12 buckets of 3.5 servers", true)(reports(reportsPerSecond*currentBuckets*currentPeers/(currentPeers+1.0), currentPeers+1, 3.5)),
 	}
 	if l.missing != "" {
-		return nil, eris.Errorf("no measure of %s", l.missing)
+		return nil, eris.Errorf("no result of measure %s", l.missing)
 	}
 	return out, nil
 }
@@ -102,18 +105,18 @@
 func (l *lines) publications() (bytes, micros float64) {
 	size := l.at("configuration", quantityPublication, sizeServices, targetSites/fileServers)
 	decode := l.at("configuration", quantityDecode, sizeServices, targetSites/fileServers)
-	return changesSecond * size, changesSecond * (decode + l.at("between entries", quantityCall, "", size))
+	return changesPerSecond * size, changesPerSecond * (decode + l.at("between entries", quantityCall, "", size))
 }
 
 func (l *lines) epochs() (bytes, micros float64) {
 	size := l.at("spreading", quantityEpoch, "", 1)
 	apply := l.at("spreading", quantityApply, "", targetBlocks)
-	return changesSecond * treeFanout * l.at("between entries", quantityCallWire, "", size),
-		changesSecond * ((treeFanout+1)*l.at("between entries", quantityCall, "", size) + apply)
+	return changesPerSecond * treeFanout * l.at("between entries", quantityCallWire, "", size),
+		changesPerSecond * ((treeFanout+1)*l.at("between entries", quantityCall, "", size) + apply)
 }
 
-// at returns the quantity that a measure's line gives for a size. An empty
-// name of the size stands for any.
+// at returns the quantity that the line of a measure predicts for a size. An empty
+// name of the size matches any.
 func (l *lines) at(role, quantity, size string, x float64) float64 {
 	for i := range l.results {
 		r := &l.results[i]
@@ -127,15 +130,16 @@
 	return 0
 }
 
-// PrintSums writes the sums as a Markdown table, held against the bounds.
+// PrintSums writes the sums as a Markdown table, with their percentages of the
+// limits.
 func PrintSums(w io.Writer, sums []Sum) {
 	fmt.Fprintln(w, "| mechanism | built | B/s sent | of 18 KB/s | processor us/s | of 1.1% |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- |")
 	for _, s := range sums {
-		built := "no"
-		if s.Built {
-			built = "yes"
+		implemented := "no"
+		if s.Implemented {
+			implemented = "yes"
 		}
-		fmt.Fprintf(w, "| %s | %s | %.4g | %.1f%% | %.4g | %.1f%% |\n", s.What, built, s.Bytes, s.Bytes/NodeBytes*100, s.Micros, s.Micros/NodeMicros*100)
+		fmt.Fprintf(w, "| %s | %s | %.4g | %.1f%% | %.4g | %.1f%% |\n", s.Mechanism, implemented, s.Bytes, s.Bytes/MaxNodeBytesPerSecond*100, s.Micros, s.Micros/MaxNodeMicrosPerSecond*100)
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotpier/shallotpier/internal/slope"
 )
 
-func TestMeasuresHaveEnoughSizes(t *testing.T) {
+func TestMeasuresAreComplete(t *testing.T) {
 	is := is.New(t)
 	for _, m := range capacity.Measures() {
 		is.True(len(m.Sizes) >= slope.MinPoints)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestMeasuredExtendsTheLine(t *testing.T) {
+func TestMeasuredExtrapolatesToTarget(t *testing.T) {
 	is := is.New(t)
 	r, err := capacity.Measured(capacity.Measure{
 		Role: "r", Quantity: "q", Size: "s", Sizes: []int{1, 2, 3, 4, 5}, Target: 1000,
--- a/internal/capacity/carrying.go
+++ b/internal/capacity/carrying.go
@@ -31,21 +31,21 @@
 )
 
 const (
-	requests     = 3000
-	warmRequests = 300
-	loopbackZero = "127.0.0.1:0"
-	lookupPath   = entry.LookupPath + "service-0"
-	settleTime   = 20 * time.Millisecond
+	measuredRequests = 3000
+	warmupRequests   = 300
+	loopbackAddress  = "127.0.0.1:0"
+	lookupPath       = entry.LookupPath + "service-0"
+	settleTime       = 20 * time.Millisecond
 )
 
-// carrying returns the measures of the role that carries requests, and of the
-// HTTP around a look-up. The caller, the entry and the stand-in of the backend
-// server run in one process.
-func carrying() []Measure {
+// requestMeasures returns the measures of forwarding requests and of lookups over
+// HTTP. The caller, the entry and the simulated backend server run in one process,
+// so that the processor time is that of all three.
+func requestMeasures() []Measure {
 	bodies := []int{0, 4 << 10, 16 << 10, 64 << 10, 256 << 10, 1 << 20}
 	entries := []int{1, 2, 4, 8, 16}
-	together := []int{1, 2, 4, 8, 16}
-	open := []int{100, 200, 400, 800, 1600}
+	concurrent := []int{1, 2, 4, 8, 16}
+	connections := []int{100, 200, 400, 800, 1600}
 	return []Measure{
 		{
 			Role: "carrying", Quantity: "PUT straight to the stand-in, processor us", Size: "B of body",
@@ -57,11 +57,11 @@
 		},
 		{
 			Role: "carrying", Quantity: "GET straight to the stand-in, processor us", Size: "requests at the same time",
-			Sizes: together, Target: 16, Run: func(n int) (float64, error) { return getCost(n, false) },
+			Sizes: concurrent, Target: 16, Run: func(n int) (float64, error) { return getCost(n, false) },
 		},
 		{
 			Role: "carrying", Quantity: "the same GET through an entry, processor us", Size: "requests at the same time",
-			Sizes: together, Target: 16, Run: func(n int) (float64, error) { return getCost(n, true) },
+			Sizes: concurrent, Target: 16, Run: func(n int) (float64, error) { return getCost(n, true) },
 		},
 		{
 			Role: "carrying", Quantity: "heap B of open uploads, all three parties", Size: "open uploads",
@@ -69,7 +69,7 @@
 		},
 		{
 			Role: "carrying", Quantity: "heap B of idle callers' connections", Size: "connections",
-			Sizes: open, Target: 10_000, Run: idleHeap,
+			Sizes: connections, Target: 10_000, Run: idleHeap,
 		},
 		{
 			Role: "HTTP look-up", Quantity: "client included, processor us", Size: "entries in the answer",
@@ -82,26 +82,26 @@
 	}
 }
 
-// path is one entry before one stand-in of a backend server.
-type path struct {
-	handler *entry.Handler
-	server  *standin.Server
-	http    *http.Server
-	client  *http.Client
-	entry   string
-	backend string
+// fixture is an entry with one simulated backend server, and a client.
+type fixture struct {
+	handler    *entry.Handler
+	server     *standin.Server
+	http       *http.Server
+	client     *http.Client
+	entryURL   string
+	backendURL string
 }
 
-// fixedEntries answers every look-up with the same entries.
+// fixedEntries returns the same entries for every lookup.
 type fixedEntries []lookup.Entry
 
 func (f fixedEntries) Entries(id.Service, netip.Addr) ([]lookup.Entry, time.Duration) {
 	return f, 10 * time.Second
 }
 
-func newPath(entries int) (*path, error) {
-	p := &path{server: &standin.Server{Name: "server-0"}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}}
-	addr, err := p.server.Listen(loopbackZero)
+func newFixture(entries int) (*fixture, error) {
+	f := &fixture{server: &standin.Server{Name: "server-0"}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}}
+	addr, err := f.server.Listen(loopbackAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -112,24 +112,24 @@
 	admitter.Pool.Order = func(*admission.Request) []*service.Server { return servers }
 	admitter.Configure([]*service.File{file})
 	table := &entry.Table{Version: 7, Services: map[id.Service]*service.File{file.Service: file}}
-	p.handler = &entry.Handler{
+	f.handler = &entry.Handler{
 		Instance: "entry-1", Incarnation: 1, Started: time.Now(), Table: func() *entry.Table { return table },
-		Admitter: admitter, Backend: &backend.Client{Entries: 1}, Lookup: fixed(entries),
+		Admitter: admitter, Backend: &backend.Client{Entries: 1}, Lookup: newFixedEntries(entries),
 		Once:       &once.Registry{Instance: "entry-1", Incarnation: 1, Key: []byte("0123456789abcdef0123456789abcdef")},
 		Quarantine: &quarantine.List{Instance: "entry-1"}, Metrics: metrics.NewSet(),
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
-	l, err := net.Listen("tcp", loopbackZero)
+	l, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
 	}
-	p.http = &http.Server{Handler: p.handler}
-	go func() { _ = p.http.Serve(l) }()
-	p.entry, p.backend = "http://"+l.Addr().String(), "http://"+addr.String()
-	return p, nil
+	f.http = &http.Server{Handler: f.handler}
+	go func() { _ = f.http.Serve(l) }()
+	f.entryURL, f.backendURL = "http://"+l.Addr().String(), "http://"+addr.String()
+	return f, nil
 }
 
-func fixed(n int) fixedEntries {
+func newFixedEntries(n int) fixedEntries {
 	var out fixedEntries
 	for i := range n {
 		out = append(out, lookup.Entry{Instance: entryName(i), Address: netip.MustParseAddrPort("10.0.0.1:21001"), Weight: 100})
@@ -137,19 +137,19 @@
 	return out
 }
 
-func (p *path) close() {
-	p.client.CloseIdleConnections()
-	_ = p.http.Close()
-	p.handler.Backend.CloseIdle()
-	_ = p.server.Close()
+func (f *fixture) close() {
+	f.client.CloseIdleConnections()
+	_ = f.http.Close()
+	f.handler.Backend.CloseIdle()
+	_ = f.server.Close()
 }
 
-func (p *path) send(method, url string, body io.Reader) error {
+func (f *fixture) send(method, url string, body io.Reader) error {
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
 		return err
 	}
-	resp, err := p.client.Do(req)
+	resp, err := f.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -163,17 +163,17 @@
 	return nil
 }
 
-// repeated returns the processor time of one of many sends, after some that
-// don't count.
-func (p *path) repeated(send func() error) (float64, error) {
-	for range warmRequests {
+// sendCost returns the mean processor time of a send, after warm-up sends that are
+// not measured.
+func (f *fixture) sendCost(send func() error) (float64, error) {
+	for range warmupRequests {
 		if err := send(); err != nil {
 			return 0, err
 		}
 	}
 	runtime.GC()
 	var failed error
-	cost, err := processorMicros(requests, func(int) {
+	cost, err := processorMicros(measuredRequests, func(int) {
 		if err := send(); err != nil {
 			failed = err
 		}
@@ -185,35 +185,35 @@
 }
 
 func putCost(size int, through bool) (float64, error) {
-	p, err := newPath(1)
+	f, err := newFixture(1)
 	if err != nil {
 		return 0, err
 	}
-	defer p.close()
-	url := p.backend + "/body"
+	defer f.close()
+	url := f.backendURL + "/body"
 	if through {
-		url = p.entry + entry.ServicePath + "service-0/body"
+		url = f.entryURL + entry.ServicePath + "service-0/body"
 	}
 	body := strings.Repeat("x", size)
-	return p.repeated(func() error { return p.send(http.MethodPut, url, strings.NewReader(body)) })
+	return f.sendCost(func() error { return f.send(http.MethodPut, url, strings.NewReader(body)) })
 }
 
-// getCost returns the processor time of one GET while n are under way.
+// getCost returns the mean processor time of a GET at a concurrency of n.
 func getCost(n int, through bool) (float64, error) {
-	p, err := newPath(1)
+	f, err := newFixture(1)
 	if err != nil {
 		return 0, err
 	}
-	defer p.close()
-	url := p.backend + "/body"
+	defer f.close()
+	url := f.backendURL + "/body"
 	if through {
-		url = p.entry + entry.ServicePath + "service-0/body"
+		url = f.entryURL + entry.ServicePath + "service-0/body"
 	}
-	cost, err := p.repeated(func() error {
+	cost, err := f.sendCost(func() error {
 		errs := make([]error, n)
 		var all sync.WaitGroup
 		for i := range errs {
-			all.Go(func() { errs[i] = p.send(http.MethodGet, url, nil) })
+			all.Go(func() { errs[i] = f.send(http.MethodGet, url, nil) })
 		}
 		all.Wait()
 		return errors.Join(errs...)
@@ -222,14 +222,14 @@
 }
 
 func lookupCost(entries int, bare bool) (float64, error) {
-	p, err := newPath(entries)
+	f, err := newFixture(entries)
 	if err != nil {
 		return 0, err
 	}
-	defer p.close()
+	defer f.close()
 	if bare {
 		var answer []byte
-		resp, err := p.client.Get(p.entry + lookupPath)
+		resp, err := f.client.Get(f.entryURL + lookupPath)
 		if err != nil {
 			return 0, err
 		}
@@ -238,31 +238,31 @@
 		if err != nil {
 			return 0, err
 		}
-		p.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		f.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			_, _ = w.Write(answer)
 		})
 	}
-	return p.repeated(func() error { return p.send(http.MethodGet, p.entry+lookupPath, nil) })
+	return f.sendCost(func() error { return f.send(http.MethodGet, f.entryURL+lookupPath, nil) })
 }
 
-// uploadHeap returns the heap while n uploads are open, each with half a
-// mebibyte sent.
+// uploadHeap returns the heap used by n uploads in progress, of which 512 KiB each
+// have been sent.
 func uploadHeap(n int) (float64, error) {
 	const sent = 512 << 10
-	p, err := newPath(1)
+	f, err := newFixture(1)
 	if err != nil {
 		return 0, err
 	}
-	defer p.close()
+	defer f.close()
 	chunk := make([]byte, sent)
 	before := heapInUse()
 	writers := make([]*io.PipeWriter, n)
-	ends := make(chan error, n)
+	errs := make(chan error, n)
 	for i := range writers {
 		var r *io.PipeReader
 		r, writers[i] = io.Pipe()
-		go func() { ends <- p.send(http.MethodPut, p.entry+entry.ServicePath+"service-0/body", io.NopCloser(r)) }()
+		go func() { errs <- f.send(http.MethodPut, f.entryURL+entry.ServicePath+"service-0/body", io.NopCloser(r)) }()
 		if _, err := writers[i].Write(chunk); err != nil {
 			return 0, err
 		}
@@ -272,22 +272,22 @@
 		_ = writers[i].Close()
 	}
 	for range writers {
-		if err := <-ends; err != nil {
+		if err := <-errs; err != nil {
 			return 0, err
 		}
 	}
 	return after - before, nil
 }
 
-// idleHeap returns the heap of n open connections of callers that have each
-// had one answer. The callers' ends hold no buffers.
+// idleHeap returns the heap used by n idle connections of callers, after one
+// request on each. The callers' ends have no buffers and contribute little.
 func idleHeap(n int) (float64, error) {
-	p, err := newPath(1)
+	f, err := newFixture(1)
 	if err != nil {
 		return 0, err
 	}
-	defer p.close()
-	address := strings.TrimPrefix(p.entry, "http://")
+	defer f.close()
+	address := strings.TrimPrefix(f.entryURL, "http://")
 	conns := make([]net.Conn, 0, n)
 	defer func() {
 		for _, c := range conns {
@@ -321,7 +321,7 @@
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.New("look-up: status " + strconv.Itoa(resp.StatusCode))
+		return nil, eris.New("lookup: status " + strconv.Itoa(resp.StatusCode))
 	}
 	return c, err
 }
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -24,15 +24,16 @@
 )
 
 const (
-	fileServers  = 20
-	decodes      = 30
-	adoptTimeout = 20 * time.Second
-	treeFanout   = 8
+	fileServers     = 20
+	measuredDecodes = 30
+	versionTimeout  = 20 * time.Second
+	treeFanout      = 8
 )
 
-// configuring returns the measures of configuration as it is passed on today:
-// whole publications, read by relays and fetched by the others.
-func configuring() []Measure {
+// configurationMeasures returns the measures of distributing configuration: relays
+// read complete publications from the store, and the other entries fetch them from
+// the relays.
+func configurationMeasures() []Measure {
 	services := []int{2, 4, 8, 16, 32}
 	servers := []int{10, 20, 40, 80, 160}
 	return []Measure{
@@ -42,7 +43,7 @@
 		},
 		{
 			Role: "configuration", Quantity: quantityDecode, Size: sizeServices, Sizes: services, Target: targetSites / fileServers,
-			Run: func(n int) (float64, error) { return decodePublication(n, fileServers) },
+			Run: func(n int) (float64, error) { return decodeCost(n, fileServers) },
 		},
 		{
 			Role: "configuration", Quantity: quantityPublication, Size: "servers of one service", Sizes: servers, Target: targetSites,
@@ -50,7 +51,7 @@
 		},
 		{
 			Role: "configuration", Quantity: quantityDecode, Size: "servers of one service", Sizes: servers, Target: targetSites,
-			Run: func(n int) (float64, error) { return decodePublication(1, n) },
+			Run: func(n int) (float64, error) { return decodeCost(1, n) },
 		},
 		{
 			Role: "configuration", Quantity: "publication in force, heap B", Size: sizeServices, Sizes: services, Target: targetSites / fileServers,
@@ -58,15 +59,15 @@
 		},
 		{
 			Role: "relay", Quantity: "store calls at a change, over all", Size: "children", Sizes: []int{1, 2, 4, 8, 16}, Target: treeFanout,
-			Run: func(n int) (float64, error) { r, err := relayChange(n); return float64(r.storeCalls), err },
+			Run: func(n int) (float64, error) { r, err := relayCost(n); return float64(r.storeCalls), err },
 		},
 		{
 			Role: "relay", Quantity: "calls between entries at a change", Size: "children", Sizes: []int{1, 2, 4, 8, 16}, Target: treeFanout,
-			Run: func(n int) (float64, error) { r, err := relayChange(n); return float64(r.calls), err },
+			Run: func(n int) (float64, error) { r, err := relayCost(n); return float64(r.calls), err },
 		},
 		{
 			Role: "relay", Quantity: "B between entries at a change, 4 services of 20 servers", Size: "children", Sizes: []int{1, 2, 4, 8, 16}, Target: treeFanout,
-			Run: func(n int) (float64, error) { r, err := relayChange(n); return float64(r.bytes), err },
+			Run: func(n int) (float64, error) { r, err := relayCost(n); return float64(r.bytes), err },
 		},
 	}
 }
@@ -76,13 +77,13 @@
 	return float64(len(data)), err
 }
 
-func decodePublication(services, servers int) (float64, error) {
+func decodeCost(services, servers int) (float64, error) {
 	data, err := json.Marshal(publication(1, services, servers))
 	if err != nil {
 		return 0, err
 	}
 	var failed error
-	cost, err := processorMicros(decodes, func(int) {
+	cost, err := processorMicros(measuredDecodes, func(int) {
 		if _, err := publish.Decode(store.Object{Value: data}); err != nil {
 			failed = err
 		}
@@ -93,8 +94,8 @@
 	return cost, err
 }
 
-// publicationHeap returns the heap of a decoded publication with its encoded
-// form, both of which an entry keeps.
+// publicationHeap returns the size of a decoded publication and of its encoded
+// form. An entry keeps both.
 func publicationHeap(services int) (float64, error) {
 	data, err := json.Marshal(publication(1, services, fileServers))
 	if err != nil {
@@ -110,17 +111,17 @@
 	return size + float64(len(data)), failed
 }
 
-type changeCost struct {
+type relayCounts struct {
 	storeCalls, calls, bytes int
 }
 
-// relayChange counts what one change costs when one entry reads the store and
-// n others learn of the version by its heartbeats.
-func relayChange(n int) (changeCost, error) {
+// relayCost counts the calls and bytes of one configuration change that one entry
+// reads from the store and n others fetch from it after its heartbeat.
+func relayCost(n int) (relayCounts, error) {
 	s := new(platform.Store)
 	network := new(peers.Network)
 	if err := putPublication(s, 1); err != nil {
-		return changeCost{}, err
+		return relayCounts{}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -128,43 +129,43 @@
 	defer cancel()
 	keepers := make([]*config.Keeper, n+1)
 	for i := range keepers {
-		keepers[i] = relayedKeeper(s, network, i)
+		keepers[i] = newKeeper(s, network, i)
 		running.Go(func() { _ = keepers[i].Run(ctx) })
 	}
-	if err := adopted(ctx, keepers, 1); err != nil {
-		return changeCost{}, err
+	if err := waitForVersion(ctx, keepers, 1); err != nil {
+		return relayCounts{}, err
 	}
 	storeBefore, callsBefore, bytesBefore := countCalls(s), 0, 0
 	callsBefore, bytesBefore = network.Sent()
 	if err := putPublication(s, 2); err != nil {
-		return changeCost{}, err
+		return relayCounts{}, err
 	}
-	if err := adopted(ctx, keepers[:1], 2); err != nil {
-		return changeCost{}, err
+	if err := waitForVersion(ctx, keepers[:1], 2); err != nil {
+		return relayCounts{}, err
 	}
 	for _, k := range keepers[1:] {
 		k.Heard(entryName(0), keepers[0].Current().Ref())
 	}
-	if err := adopted(ctx, keepers, 2); err != nil {
-		return changeCost{}, err
+	if err := waitForVersion(ctx, keepers, 2); err != nil {
+		return relayCounts{}, err
 	}
 	calls, bytes := network.Sent()
-	return changeCost{storeCalls: countCalls(s) - storeBefore - 1, calls: calls - callsBefore, bytes: bytes - bytesBefore}, nil
+	return relayCounts{storeCalls: countCalls(s) - storeBefore - 1, calls: calls - callsBefore, bytes: bytes - bytesBefore}, nil
 }
 
-func relayedKeeper(s *platform.Store, network *peers.Network, i int) *config.Keeper {
+func newKeeper(s *platform.Store, network *peers.Network, i int) *config.Keeper {
 	node := network.Node(peer.Sender{Instance: entryName(i), Incarnation: 1})
 	k := &config.Keeper{Store: s, Caller: node, Relay: func() bool { return i == 0 }, Log: slog.New(slog.DiscardHandler)}
 	node.Register(config.FetchMethod, k.HandleFetch)
 	return k
 }
 
-func adopted(ctx context.Context, keepers []*config.Keeper, v id.Version) error {
-	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
+func waitForVersion(ctx context.Context, keepers []*config.Keeper, v id.Version) error {
+	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	for _, k := range keepers {
 		if !k.AtLeast(ctx, v) {
-			return eris.Errorf("version %d was not adopted within %s", v, adoptTimeout)
+			return eris.Errorf("version %d not active within %s", v, versionTimeout)
 		}
 	}
 	return nil
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,11 +1,11 @@
-// Package capacity measures what each role of a node costs at several sizes
-// and works out from the fitted lines what it costs at the target's size.
+// Package capacity measures the cost of each role of a node at several sizes and
+// extrapolates it to the size of the target deployment.
 //
-// A [Measure] runs one piece of the product at each of its sizes and returns a
-// quantity: bytes of memory, microseconds of processor time, bytes of a
-// message. [Measure.Series] collects the points, and package slope fits the
-// line. docs/CAPACITY.md is written from the output; the figures depend on the
-// machine, the lines' shape doesn't.
+// A [Measure] runs production code at several sizes and returns a quantity for
+// each: bytes of memory, microseconds of processor time or bytes of a message.
+// [Measure.Series] collects the points, and package slope fits a line to them.
+// docs/CAPACITY.md contains the results. The values depend on the machine, but
+// whether they grow linearly with the size does not.
 //
 // # Usage
 //
--- a/internal/capacity/guard_test.go
+++ b/internal/capacity/guard_test.go
@@ -30,18 +30,18 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// Bounds that the target gives. A node may use 18 KB a second for control; the
-// store takes 2,000 reads a second of 6,600 nodes.
+// Limits of the target deployment. A node may send 18 KB of control traffic per
+// second; the store serves 2,000 reads per second from 6,600 nodes.
 const (
-	nodeBytesSecond   = 18_000
-	storeReadsSecond  = 2000
-	todaysEntries     = 7
-	todaysCallsSecond = 10
-	changesDay        = 12_000
-	watchWait         = 30 * time.Second
+	nodeBytesPerSecond    = 18_000
+	storeReadsPerSecond   = 2000
+	currentEntries        = 7
+	currentCallsPerSecond = 10
+	changesPerDay         = 12_000
+	watchTimeout          = 30 * time.Second
 )
 
-func TestAllocationsOfDecisions(t *testing.T) {
+func TestDecisionsStayWithinAllocationBounds(t *testing.T) {
 	table, err := lookupTable(10_000)
 	if err != nil {
 		t.Fatal(err)
@@ -63,8 +63,9 @@
 		run   func()
 		bound float64
 	}{
-		"look-up": {run: func() { buf = table.Lookup(from, buf[:0]) }},
-		// The permit is the one allocation; docs/CAPACITY.md lists it as a miss.
+		"lookup": {run: func() { buf = table.Lookup(from, buf[:0]) }},
+		// The only allocation is the permit. docs/CAPACITY.md lists it as a
+		// target that is missed.
 		"admission": {bound: 1, run: func() {
 			p, err := admitter.Admit(t.Context(), req)
 			if err != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-func TestMessagesFitTheNodesBytes(t *testing.T) {
+func TestMessagesFitNodeByteLimit(t *testing.T) {
 	size := func(v any) int {
 		data, err := json.Marshal(v)
 		if err != nil {
@@ -88,18 +89,19 @@
 		}
 		return len(data)
 	}
-	table := heardTable("entry-1", todaysEntries-1)
-	later := time.Now().Add(beatAge)
-	beat := size(table.BeatTo("entry-2", later, 1, ownWord(wordUses))) + size(table.Beat(later, 1, ownWord(wordUses)))
-	notice := size(noticeBoard(1).All())
+	table := newMembershipTable("entry-1", currentEntries-1)
+	later := time.Now().Add(heartbeatAge)
+	heartbeat := size(table.BeatTo("entry-2", later, 1, newOwn(ownUses))) + size(table.Beat(later, 1, newOwn(ownUses)))
+	notice := size(newNoticeBoard(1).All())
 	tests := map[string]struct{ perSecond, bound float64 }{
-		// Each entry sends two beats a second to each other and answers two.
-		"beats of 7 entries": {float64(beat * 2 * (todaysEntries - 1)), nodeBytesSecond},
-		// A member of a tree sends a change to 8 children; one in 100 of a
-		// node's bytes.
-		"epochs to 8 children": {float64(size(epochOf(1))) * treeFanout * changesDay / 86_400, nodeBytesSecond / 100},
-		// Every backend server of a site leaves and comes back once a day.
-		"notices to 6 others": {float64(notice) * (todaysEntries - 1) * 2 * 2100 / 86_400, nodeBytesSecond / 100},
+		// Each entry sends two heartbeats per second to each other entry and
+		// answers two.
+		"heartbeats of 7 entries": {float64(heartbeat * 2 * (currentEntries - 1)), nodeBytesPerSecond},
+		// A node of the distribution tree sends each change to 8 children. The
+		// bound is 1/100 of the node's limit.
+		"epochs to 8 children": {float64(size(newEpoch(1))) * treeFanout * changesPerDay / 86_400, nodeBytesPerSecond / 100},
+		// Every backend server of a site starts and ends draining once a day.
+		"notices to 6 others": {float64(notice) * (currentEntries - 1) * 2 * 2100 / 86_400, nodeBytesPerSecond / 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -109,15 +111,15 @@
 	}
 }
 
-func TestMessagesOfOneChange(t *testing.T) {
+func TestOneChangeCausesOneFetchPerEntry(t *testing.T) {
 	is := is.New(t)
-	c, err := relayChange(todaysEntries - 1)
+	c, err := relayCost(currentEntries - 1)
 	is.NoErr(err)
-	is.Equal(c.calls, todaysEntries-1) // each other entry fetches once
-	is.True(c.storeCalls <= 2)         // the relay's watch that ended, and its next
+	is.Equal(c.calls, currentEntries-1) // one fetch by each other entry
+	is.True(c.storeCalls <= 2)          // the relay's watch that returned the change, and its next watch
 }
 
-func TestStoreCallsAtRest(t *testing.T) {
+func TestStoreCallsOfIdleEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := new(platform.Store)
@@ -125,8 +127,8 @@
 		is.NoErr(putPublication(s, 1))
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		for i := range todaysEntries {
-			runResting(ctx, &running, &waitingStore{s}, network, i)
+		for i := range currentEntries {
+			runIdle(ctx, &running, &timeoutStore{s}, network, i)
 		}
 		time.Sleep(time.Minute)
 		before := s.Counts()
@@ -137,37 +139,39 @@
 		of := func(kind platform.Kind) int { return after[kind] - before[kind] }
 		reads := of(platform.Get) + of(platform.List) + of(platform.Watch)
 		writes := of(platform.Put) + of(platform.Delete)
-		t.Logf("an hour at rest of %d entries: %d reads, %d writes", todaysEntries, reads, writes)
+		t.Logf("%d entries idle for an hour: %d reads, %d writes", currentEntries, reads, writes)
 		is.True(reads > 0)
-		is.True(reads+writes < todaysCallsSecond*3600)
-		// The entries' part of the reads that the store takes from the fleet.
-		is.True(reads < todaysEntries*3600*storeReadsSecond/targetNodes)
-		// Writes grow with the buckets: one for each a round of a third of a
-		// lease, which is 4 s at least.
-		is.True(writes <= todaysBuckets*3600/4)
+		is.True(reads+writes < currentCallsPerSecond*3600)
+		// The share of these entries in the reads that the store serves for all
+		// nodes.
+		is.True(reads < currentEntries*3600*storeReadsPerSecond/targetNodes)
+		// Each bucket's lease is renewed at a third of its duration, which is at
+		// least 4 s, with one write.
+		is.True(writes <= currentBuckets*3600/4)
 	})
 }
 
-// waitingStore ends a watch as the store's HTTP client does.
-type waitingStore struct{ *platform.Store }
+// timeoutStore ends a watch after watchTimeout, as the HTTP client of the store
+// does.
+type timeoutStore struct{ *platform.Store }
 
-func (s *waitingStore) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWait)
+func (s *timeoutStore) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	return s.Store.Watch(ctx, key, seen)
 }
 
-// runResting runs what an entry does with the store while nothing changes.
-func runResting(ctx context.Context, running *sync.WaitGroup, s store.Store, network *peers.Network, i int) {
+// runIdle runs the parts of an entry that access the store while nothing changes.
+func runIdle(ctx context.Context, running *sync.WaitGroup, s store.Store, network *peers.Network, i int) {
 	node := network.Node(peer.Sender{Instance: entryName(i), Incarnation: 1})
 	log := slog.New(slog.DiscardHandler)
-	var buckets [todaysBuckets]string
+	var buckets [currentBuckets]string
 	for b := range buckets {
 		buckets[b] = "service/zone-" + strconv.Itoa(b)
 	}
 	others := func() []id.Instance {
 		var out []id.Instance
-		for k := range todaysEntries {
+		for k := range currentEntries {
 			if k != i {
 				out = append(out, entryName(k))
 			}
@@ -184,16 +188,16 @@
 	leases := &lease.Keeper{
 		Store: s, Prefix: "lease/home/", Self: lease.Owner{Instance: entryName(i), Incarnation: 1}, Log: log,
 		Names: func() []string { return buckets[:] },
-		Want:  func(name string) bool { return slices.Index(buckets[:], name)%todaysEntries == i },
+		Want:  func(name string) bool { return slices.Index(buckets[:], name)%currentEntries == i },
 	}
 	running.Go(func() { _ = leases.Run(ctx) })
 	running.Go(func() { _ = k.Run(ctx) })
 	running.Go(func() { _ = x.Run(ctx) })
 }
 
-// TestSumsFindEveryMeasure works the sums out of lines y = x, so that a
-// renamed measure is noticed without running it.
-func TestSumsFindEveryMeasure(t *testing.T) {
+// TestSumsFindAllMeasures computes the sums from lines y = x. It guards against a
+// measure that is renamed without Sums, and doesn't need to run the measures.
+func TestSumsFindAllMeasures(t *testing.T) {
 	is := is.New(t)
 	var results []Result
 	for _, m := range Measures() {
@@ -204,7 +208,7 @@
 	is.Equal(sums[0].Bytes, 2.0*zonePeers*zonePeers)
 	is.Equal(sums[1].Micros, 1.0*ringPeers*2*ringPeers)
 	_, err = Sums(results[1:])
-	is.NoErr(err) // the first measure enters no sum
+	is.NoErr(err) // no sum uses the first measure
 	_, err = Sums(results[:len(results)-3])
 	is.True(err != nil)
 }
--- a/internal/capacity/homes.go
+++ b/internal/capacity/homes.go
@@ -17,20 +17,20 @@
 	reportRounds  = 20
 )
 
-// dividing returns the measures of the role that divides the slots of a
-// bucket of backend servers among its holders.
-func dividing() []Measure {
+// slotMeasures returns the measures of the home entry of a bucket of backend
+// servers, which divides the slots of the bucket among the holders.
+func slotMeasures() []Measure {
 	holders := []int{7, 20, 40, 80, zonePeers}
 	return []Measure{
 		{
 			Role: "home", Quantity: quantityAnswer, Size: "holders",
 			Sizes: holders, Target: zonePeers,
-			Run: func(n int) (float64, error) { return answerReports(n, bucketServers) },
+			Run: func(n int) (float64, error) { return reportCost(n, bucketServers) },
 		},
 		{
 			Role: "home", Quantity: quantityAnswer, Size: "servers in the bucket",
 			Sizes: []int{2, 5, 10, 20, 40}, Target: 53,
-			Run: func(n int) (float64, error) { return answerReports(bucketHolders, n) },
+			Run: func(n int) (float64, error) { return reportCost(bucketHolders, n) },
 		},
 		{
 			Role: "home", Quantity: quantityReport, Size: "servers in the bucket",
@@ -51,7 +51,7 @@
 				var failed error
 				size := heapBytes(func() any {
 					b := newBucket(n, bucketServers)
-					failed = b.round()
+					failed = b.answerAll()
 					return b
 				})
 				return size, failed
@@ -60,9 +60,9 @@
 	}
 }
 
-func answerReports(holders, servers int) (float64, error) {
+func reportCost(holders, servers int) (float64, error) {
 	b := newBucket(holders, servers)
-	if err := b.round(); err != nil {
+	if err := b.answerAll(); err != nil {
 		return 0, err
 	}
 	var failed error
@@ -77,13 +77,13 @@
 	return cost, err
 }
 
-// bucket is a ledger and what its holders hold of it.
+// bucket is a ledger with the state of its holders.
 type bucket struct {
 	ledger  ledger.Ledger
-	holders []holding
+	holders []holder
 }
 
-type holding struct {
+type holder struct {
 	sender peer.Sender
 	seq    uint64
 	seen   map[id.Server]uint64
@@ -101,7 +101,7 @@
 	b.ledger.Configure(slots, 0)
 	b.ledger.Begin(1, 0)
 	for i := range holders {
-		h := holding{sender: peer.Sender{Instance: id.Instance("entry-" + strconv.Itoa(i)), Incarnation: 1}, seen: map[id.Server]uint64{}}
+		h := holder{sender: peer.Sender{Instance: id.Instance("entry-" + strconv.Itoa(i)), Incarnation: 1}, seen: map[id.Server]uint64{}}
 		for _, s := range slots {
 			h.seen[s.Server] = 0
 		}
@@ -110,8 +110,8 @@
 	return b
 }
 
-// round answers one report of each holder.
-func (b *bucket) round() error {
+// answerAll answers one report from each holder.
+func (b *bucket) answerAll() error {
 	for i := range b.holders {
 		if _, err := b.answer(i); err != nil {
 			return err
@@ -130,7 +130,8 @@
 	return r
 }
 
-// answer does what a home does with one report and returns its answer.
+// answer processes one report as the home entry does, including encoding and
+// decoding, and returns the encoded grant.
 func (b *bucket) answer(i int) ([]byte, error) {
 	data, err := json.Marshal(b.report(i))
 	if err != nil {
--- a/internal/capacity/lookups.go
+++ b/internal/capacity/lookups.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	probes     = 200_000
-	callers    = 4096
-	prefixBits = 24
+	measuredLookups = 200_000
+	callers         = 4096
+	prefixBits      = 24
 )
 
-// answering returns the measures of the role that answers look-ups.
-func answering() []Measure {
+// lookupMeasures returns the measures of answering lookups.
+func lookupMeasures() []Measure {
 	blocks := []int{6_250, 12_500, 25_000, 50_000, 100_000}
 	return []Measure{
 		{
@@ -33,7 +33,7 @@
 		},
 		{
 			Role: "look-up", Quantity: "one decision, processor us", Size: "blocks", Sizes: blocks, Target: targetBlocks,
-			Run: decide,
+			Run: decisionCost,
 		},
 		{
 			Role: "look-up", Quantity: "table for one changed site, processor us", Size: "blocks", Sizes: blocks, Target: targetBlocks,
@@ -42,7 +42,7 @@
 				if err != nil {
 					return 0, err
 				}
-				return processorMicros(repeats*10, func(i int) {
+				return processorMicros(measuredChanges*10, func(i int) {
 					t = t.WithState(uint32(i%targetSites), lookup.Leaving)
 				})
 			},
@@ -50,7 +50,7 @@
 	}
 }
 
-func decide(blocks int) (float64, error) {
+func decisionCost(blocks int) (float64, error) {
 	t, err := lookupTable(blocks)
 	if err != nil {
 		return 0, err
@@ -61,7 +61,7 @@
 		from[i] = address(r.Uint32())
 	}
 	buf := make([]lookup.Choice, 0, lookup.MaxChoices)
-	return processorMicros(probes, func(i int) {
+	return processorMicros(measuredLookups, func(i int) {
 		buf = t.Lookup(from[i%callers], buf[:0])
 	})
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -8,23 +8,23 @@
 	"github.com/shallotpier/shallotpier/internal/slope"
 )
 
-// Measure is one quantity of one role, taken at several sizes.
+// Measure measures one quantity of one role at several sizes.
 type Measure struct {
-	// Role names the role of a node.
+	// Role is the role of a node.
 	Role string
-	// Quantity names what is measured, with its unit.
+	// Quantity is the name of the measured quantity, with its unit.
 	Quantity string
-	// Size names what the sizes count.
+	// Size is the name of what Sizes and Target count.
 	Size string
-	// Sizes lists the sizes, smallest first.
+	// Sizes holds the sizes in ascending order.
 	Sizes []int
-	// Target is the size at the target.
+	// Target is the size in the target deployment.
 	Target int
 	// Run measures the quantity at one size.
 	Run func(size int) (float64, error)
 }
 
-// Series runs the measure at each size.
+// Series runs the measure at each size and stops at the first error.
 func (m Measure) Series() (slope.Series, error) {
 	s := slope.Series{Role: m.Role, Quantity: m.Quantity, Size: m.Size}
 	for _, size := range m.Sizes {
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// heapBytes returns the heap that the value built by build keeps in use.
+// heapBytes returns how much the value that build returns adds to the live heap.
 func heapBytes(build func() any) float64 {
 	before := heapInUse()
 	v := build()
@@ -54,8 +54,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// processorMicros returns the processor time that the process spends in each
-// of n calls of f, in microseconds.
+// processorMicros calls f n times and returns the mean processor time of the
+// process per call, in microseconds.
 func processorMicros(n int, f func(i int)) (float64, error) {
 	start, err := processorTime()
 	if err != nil {
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -17,58 +17,59 @@
 )
 
 const (
-	zonePeers = 165
-	beats     = 100
-	beatAge   = 250 * time.Millisecond
-	// wordUses is two services in three regions, as each deployment of today.
-	wordUses = 6
+	zonePeers          = 165
+	measuredHeartbeats = 100
+	heartbeatAge       = 250 * time.Millisecond
+	// ownUses is the product of two services and three regions, as in each
+	// current deployment.
+	ownUses = 6
 )
 
-// belonging returns the measures of the role that knows which other entries
-// live.
-func belonging() []Measure {
+// membershipMeasures returns the measures of failure detection by heartbeats between
+// entries.
+func membershipMeasures() []Measure {
 	peers := []int{6, 12, 24, 48, 96, zonePeers}
 	return []Measure{
 		{
 			Role: "membership", Quantity: "answer to a beat, B", Size: "peers heard", Sizes: peers, Target: zonePeers,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(heardTable("a", n).Beat(time.Now(), 1, ownWord(wordUses)))
+				data, err := json.Marshal(newMembershipTable("a", n).Beat(time.Now(), 1, newOwn(ownUses)))
 				return float64(len(data)), err
 			},
 		},
 		{
 			Role: "membership", Quantity: "answer of 7 entries, B", Size: "services' regions in use", Sizes: []int{2, 4, 8, 16, 32}, Target: targetSites / fileServers,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(heardTable("a", 6).Beat(time.Now(), 1, ownWord(n)))
+				data, err := json.Marshal(newMembershipTable("a", 6).Beat(time.Now(), 1, newOwn(n)))
 				return float64(len(data)), err
 			},
 		},
 		{
-			Role: "membership", Quantity: quantityBeatCost, Size: "peers heard",
-			Sizes: peers, Target: zonePeers, Run: exchangeBeats,
+			Role: "membership", Quantity: quantityHeartbeatCost, Size: "peers heard",
+			Sizes: peers, Target: zonePeers, Run: heartbeatCost,
 		},
 		{
-			Role: "membership", Quantity: quantityBeatWire, Size: "peers heard",
-			Sizes: peers, Target: zonePeers, Run: beatWire,
+			Role: "membership", Quantity: quantityHeartbeatWire, Size: "peers heard",
+			Sizes: peers, Target: zonePeers, Run: heartbeatWireBytes,
 		},
 		{
 			Role: "membership", Quantity: "table heap B", Size: "peers", Sizes: []int{1000, 2000, 4000, 5000, 6600}, Target: targetNodes,
 			Run: func(n int) (float64, error) {
-				return heapBytes(func() any { return heardTable("a", n) }), nil
+				return heapBytes(func() any { return newMembershipTable("a", n) }), nil
 			},
 		},
 	}
 }
 
-func exchangeBeats(n int) (float64, error) {
+func heartbeatCost(n int) (float64, error) {
 	var failed error
-	p, a, err := beating(n)
+	p, a, err := newHeartbeatPair(n)
 	if err != nil {
 		return 0, err
 	}
 	defer p.close()
-	cost, err := processorMicros(beats, func(int) {
-		if err := exchangeBeat(p, a); err != nil {
+	cost, err := processorMicros(measuredHeartbeats, func(int) {
+		if err := exchangeHeartbeat(p, a); err != nil {
 			failed = err
 		}
 	})
@@ -76,54 +77,54 @@
 	case failed != nil:
 		return 0, failed
 	case len(a.Beat(time.Now(), 1, membership.Own{}).Heard) < n:
-		return 0, eris.New("the measure took longer than entries stay heard")
+		return 0, eris.New("the measurement took longer than the heartbeat timeout")
 	}
 	return cost, err
 }
 
-func beatWire(n int) (float64, error) {
+func heartbeatWireBytes(n int) (float64, error) {
 	const rounds = 20
-	p, a, err := beating(n)
+	p, a, err := newHeartbeatPair(n)
 	if err != nil {
 		return 0, err
 	}
 	defer p.close()
-	if err := exchangeBeat(p, a); err != nil {
+	if err := exchangeHeartbeat(p, a); err != nil {
 		return 0, err
 	}
 	before := p.bytes.Load()
 	for range rounds {
-		if err := exchangeBeat(p, a); err != nil {
+		if err := exchangeHeartbeat(p, a); err != nil {
 			return 0, err
 		}
 	}
 	return float64(p.bytes.Load()-before) / rounds, nil
 }
 
-// beating returns two entries that have each heard n others, and the table of
-// the one that sends.
-func beating(n int) (*nodePair, *membership.Table, error) {
-	p, err := pair(context.Background())
+// newHeartbeatPair returns two entries that have each received heartbeats from n
+// others, and the table of the one that sends.
+func newHeartbeatPair(n int) (*nodePair, *membership.Table, error) {
+	p, err := newNodePair(context.Background())
 	if err != nil {
 		return nil, nil, err
 	}
 	h := &membership.Heartbeat{
-		Table: heardTable("b", n), Incarnation: 1, Log: slog.New(slog.DiscardHandler),
-		Own: func() membership.Own { return ownWord(wordUses) },
+		Table: newMembershipTable("b", n), Incarnation: 1, Log: slog.New(slog.DiscardHandler),
+		Own: func() membership.Own { return newOwn(ownUses) },
 	}
 	h.Register(p.b)
-	a := heardTable("a", n)
+	a := newMembershipTable("a", n)
 	a.Take(time.Now(), &membership.Beat{Instance: "b", Incarnation: 1}, true, 0)
 	return p, a, nil
 }
 
-// exchangeBeat does what a heartbeat does once.
-func exchangeBeat(p *nodePair, a *membership.Table) error {
+// exchangeHeartbeat sends one heartbeat and applies the answer.
+func exchangeHeartbeat(p *nodePair, a *membership.Table) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var answer membership.Beat
 	sent := time.Now()
-	if err := p.a.Call(ctx, "b", membership.Method, a.BeatTo("b", sent, 1, ownWord(wordUses)), &answer); err != nil {
+	if err := p.a.Call(ctx, "b", membership.Method, a.BeatTo("b", sent, 1, newOwn(ownUses)), &answer); err != nil {
 		return eris.Wrap(err, "beat")
 	}
 	if err := answer.Check(); err != nil {
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// ownWord returns what an entry says of itself that uses slots of n regions
-// of services.
-func ownWord(n int) membership.Own {
+// newOwn returns the own state in the heartbeat of an entry that uses slots of n
+// regions of services.
+func newOwn(n int) membership.Own {
 	own := membership.Own{Config: config.Ref{Version: 4_380_000, ID: "0123456789abcdef0123456789abcdef"}}
 	for i := range n {
 		own.Uses = append(own.Uses, loads.Use{Service: id.Service("service-" + strconv.Itoa(i/3)), Region: id.Region("region-" + strconv.Itoa(i%3)), Slots: 100})
@@ -143,16 +144,17 @@
 	return own
 }
 
-// heardTable returns the table of an entry that has just heard n others.
-func heardTable(self id.Instance, n int) *membership.Table {
+// newMembershipTable returns the table of an entry that has just received heartbeats
+// from n others.
+func newMembershipTable(self id.Instance, n int) *membership.Table {
 	t := &membership.Table{Self: self}
 	now := time.Now()
 	t.Tick(now)
 	for i := range n {
 		b := membership.Beat{
 			Instance: id.Instance("entry-" + strconv.Itoa(i)), Incarnation: id.Incarnation(1_796_000_000_000_000_000 + i),
-			Own:   ownWord(wordUses),
-			Heard: []membership.Heard{{Instance: self, Incarnation: 1, Age: unit.Duration(beatAge)}},
+			Own:   newOwn(ownUses),
+			Heard: []membership.Heard{{Instance: self, Incarnation: 1, Age: unit.Duration(heartbeatAge)}},
 		}
 		t.Take(now, &b, true, 0)
 	}
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -11,66 +11,66 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-const comparisons = 50
+const measuredComparisons = 50
 
-// news returns the measures of what entries keep and compare about backend
-// servers and requests: drain notices and fingerprints.
-func news() []Measure {
+// noticeMeasures returns the measures of drain notices and of request fingerprints,
+// which entries store and compare with each other.
+func noticeMeasures() []Measure {
 	sizes := []int{10, 20, 40, 80, 160, 320}
 	return []Measure{
 		{
 			Role: "notices", Quantity: "exchange of differing boards, both ways, B", Size: "notices", Sizes: sizes, Target: targetSites,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(noticeBoard(n).All())
+				data, err := json.Marshal(newNoticeBoard(n).All())
 				return 2 * float64(len(data)), err
 			},
 		},
 		{
 			Role: "notices", Quantity: "one end of an exchange of differing boards, processor us", Size: "notices", Sizes: sizes, Target: targetSites,
-			Run: compareNotices,
+			Run: noticesCost,
 		},
 		{
 			Role: "notices", Quantity: "digest for a comparison, processor us", Size: "notices", Sizes: []int{100, 200, 400, 800, 1600}, Target: targetSites,
 			Run: func(n int) (float64, error) {
-				board := noticeBoard(n)
-				return processorMicros(comparisons, func(int) { _ = board.Digest() })
+				board := newNoticeBoard(n)
+				return processorMicros(measuredComparisons, func(int) { _ = board.Digest() })
 			},
 		},
 		{
 			Role: "notices", Quantity: "board heap B", Size: "notices", Sizes: sizes, Target: targetSites,
-			Run: func(n int) (float64, error) { return heapBytes(func() any { return noticeBoard(n) }), nil },
+			Run: func(n int) (float64, error) { return heapBytes(func() any { return newNoticeBoard(n) }), nil },
 		},
 		{
 			Role: "quarantine", Quantity: quantityFingerprints, Size: "fingerprints", Sizes: sizes, Target: 1000,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(quarantined(n).News(time.Now(), n))
+				data, err := json.Marshal(newQuarantine(n).News(time.Now(), n))
 				return 2 * float64(len(data)), err
 			},
 		},
 		{
 			Role: "quarantine", Quantity: "one end of a comparison, processor us", Size: "fingerprints", Sizes: sizes, Target: 1000,
-			Run: compareFingerprints,
+			Run: fingerprintsCost,
 		},
 		{
 			Role: "quarantine", Quantity: "list heap B", Size: "fingerprints", Sizes: []int{1000, 2000, 4000, 8000, 10000}, Target: 10_000,
-			Run: func(n int) (float64, error) { return heapBytes(func() any { return quarantined(n) }), nil },
+			Run: func(n int) (float64, error) { return heapBytes(func() any { return newQuarantine(n) }), nil },
 		},
 	}
 }
 
-func compareNotices(n int) (float64, error) {
-	board := noticeBoard(n)
+func noticesCost(n int) (float64, error) {
+	board := newNoticeBoard(n)
 	var failed error
-	cost, err := processorMicros(comparisons, func(int) {
+	cost, err := processorMicros(measuredComparisons, func(int) {
 		data, err := json.Marshal(board.All())
 		if err != nil {
 			failed = err
 		}
-		var heard []notices.Notice
-		if err := json.Unmarshal(data, &heard); err != nil {
+		var received []notices.Notice
+		if err := json.Unmarshal(data, &received); err != nil {
 			failed = err
 		}
-		board.Merge(heard)
+		board.Merge(received)
 	})
 	if failed != nil {
 		return 0, failed
@@ -78,7 +78,7 @@
 	return cost, err
 }
 
-func noticeBoard(n int) *notices.Board {
+func newNoticeBoard(n int) *notices.Board {
 	b := new(notices.Board)
 	now := time.Unix(1_796_000_000, 123_456_789).UTC()
 	for i := range n {
@@ -87,20 +87,20 @@
 	return b
 }
 
-func compareFingerprints(n int) (float64, error) {
-	list := quarantined(n)
+func fingerprintsCost(n int) (float64, error) {
+	list := newQuarantine(n)
 	var failed error
-	cost, err := processorMicros(comparisons, func(int) {
+	cost, err := processorMicros(measuredComparisons, func(int) {
 		now := time.Now()
 		data, err := json.Marshal(list.News(now, n))
 		if err != nil {
 			failed = err
 		}
-		var heard []quarantine.Sighting
-		if err := json.Unmarshal(data, &heard); err != nil {
+		var received []quarantine.Sighting
+		if err := json.Unmarshal(data, &received); err != nil {
 			failed = err
 		}
-		for _, s := range heard {
+		for _, s := range received {
 			list.Learn(now, s)
 		}
 	})
@@ -110,7 +110,7 @@
 	return cost, err
 }
 
-func quarantined(n int) *quarantine.List {
+func newQuarantine(n int) *quarantine.List {
 	l := &quarantine.List{Instance: "entry-3"}
 	now := time.Now()
 	for i := range n {
--- a/internal/capacity/peers.go
+++ b/internal/capacity/peers.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	calls        = 5_000
-	heartbeatLen = 300
-	methodEcho   = "capacity.echo"
+	measuredCalls  = 5_000
+	heartbeatBytes = 300
+	methodEcho     = "capacity.echo"
 )
 
-// talking returns the measures of messages between entries. Both ends run in
-// one process, so that one call stands for sending and answering it.
-func talking() []Measure {
+// peerMeasures returns the measures of messages between entries. Both ends run in
+// one process, so that the cost of a call includes sending and answering it.
+func peerMeasures() []Measure {
 	return []Measure{
 		{
 			Role: "between entries", Quantity: quantityCall, Size: "B of message",
-			Sizes: []int{100, 300, 1_000, 3_000, 10_000}, Target: heartbeatLen, Run: call,
+			Sizes: []int{100, 300, 1_000, 3_000, 10_000}, Target: heartbeatBytes, Run: callCost,
 		},
 		{
 			Role: "between entries", Quantity: quantityCallWire, Size: "B of message",
-			Sizes: []int{100, 300, 1_000, 3_000, 10_000}, Target: heartbeatLen, Run: callWire,
+			Sizes: []int{100, 300, 1_000, 3_000, 10_000}, Target: heartbeatBytes, Run: callWireBytes,
 		},
 		{
 			Role: "between entries", Quantity: "connections' heap B, one end", Size: "peers",
-			Sizes: []int{10, 20, 40, 80, 160}, Target: 165, Run: connections,
+			Sizes: []int{10, 20, 40, 80, 160}, Target: 165, Run: connectionHeap,
 		},
 	}
 }
 
-func call(size int) (float64, error) {
+func callCost(size int) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	nodes, err := pair(ctx)
+	nodes, err := newNodePair(ctx)
 	if err != nil {
 		return 0, err
 	}
 	defer nodes.close()
 	body := strings.Repeat("x", size)
 	var failed error
-	cost, err := processorMicros(calls, func(int) {
+	cost, err := processorMicros(measuredCalls, func(int) {
 		if err := nodes.a.Call(ctx, "b", methodEcho, body, nil); err != nil {
 			failed = err
 		}
@@ -60,11 +60,11 @@
 	return cost, err
 }
 
-func callWire(size int) (float64, error) {
+func callWireBytes(size int) (float64, error) {
 	const rounds = 20
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	nodes, err := pair(ctx)
+	nodes, err := newNodePair(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -72,7 +72,7 @@
 	body := strings.Repeat("x", size)
 	var before int64
 	for i := range rounds + 1 {
-		if i == 1 { // the first call greets
+		if i == 1 { // the first call includes the handshake
 			before = nodes.bytes.Load()
 		}
 		if err := nodes.a.Call(ctx, "b", methodEcho, body, nil); err != nil {
@@ -82,12 +82,12 @@
 	return float64(nodes.bytes.Load()-before) / rounds, nil
 }
 
-// connections returns the heap of one node that has called n others, less that
-// of the others' ends, which is as large.
-func connections(n int) (float64, error) {
+// connectionHeap returns the heap used by one end of n connections. Both ends are in
+// this process and of equal size, so it returns half of their heap.
+func connectionHeap(n int) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	nodes, err := pair(ctx)
+	nodes, err := newNodePair(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -96,7 +96,7 @@
 	both := heapBytes(func() any {
 		for i := range n {
 			node := &rpc.Node{Self: peer.Sender{Instance: "a", Incarnation: id.Incarnation(i + 1)}, Dial: nodes.a.Dial}
-			nodes.more = append(nodes.more, node)
+			nodes.others = append(nodes.others, node)
 			if err := node.Call(ctx, "b", methodEcho, "", nil); err != nil {
 				failed = err
 			}
@@ -109,11 +109,11 @@
 type nodePair struct {
 	a, b     *rpc.Node
 	listener net.Listener
-	more     []*rpc.Node
+	others   []*rpc.Node
 	bytes    atomic.Int64
 }
 
-// countingConn counts the bytes that pass one end of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -131,7 +131,7 @@
 	return n, err
 }
 
-func pair(ctx context.Context) (*nodePair, error) {
+func newNodePair(ctx context.Context) (*nodePair, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
@@ -158,7 +158,7 @@
 	p.a.Close()
 	p.b.Close()
 	p.listener.Close()
-	for _, n := range p.more {
+	for _, n := range p.others {
 		n.Close()
 	}
 }
--- a/internal/capacity/spread.go
+++ b/internal/capacity/spread.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	targetNodes  = 6_600
-	targetBlocks = 100_000
-	targetSites  = 2_100
-	sitesOfBlock = 3
-	repeats      = 200
+	targetNodes     = 6_600
+	targetBlocks    = 100_000
+	targetSites     = 2_100
+	sitesOfBlock    = 3
+	measuredChanges = 200
 )
 
-// spreading returns the measures of the role that keeps and passes on the
-// changes of intent.
-func spreading() []Measure {
+// replicaMeasures returns the measures of replicating configuration changes with
+// package spread.
+func replicaMeasures() []Measure {
 	blocks := []int{6_250, 12_500, 25_000, 50_000, 100_000}
 	return []Measure{
 		{
 			Role: "spreading", Quantity: "replica heap B", Size: "blocks", Sizes: blocks, Target: targetBlocks,
 			Run: func(n int) (float64, error) {
-				nearest := clientBlocks(n)
+				nearest := newBlocks(n)
 				defer runtime.KeepAlive(nearest)
 				return heapBytes(func() any { return spread.NewReplica(targetSites, nearest) }), nil
 			},
 		},
 		{
 			Role: "spreading", Quantity: quantityApply, Size: "blocks", Sizes: blocks, Target: targetBlocks,
-			Run: applyChange,
+			Run: applyCost,
 		},
 		{
 			Role: "spreading", Quantity: quantityEpoch, Size: "changes in it", Sizes: []int{1, 2, 4, 8, 16, 32}, Target: 1,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(epochOf(n))
+				data, err := json.Marshal(newEpoch(n))
 				return float64(len(data)), err
 			},
 		},
 	}
 }
 
-func applyChange(blocks int) (float64, error) {
-	r := spread.NewReplica(targetSites, clientBlocks(blocks))
-	return processorMicros(repeats, func(i int) {
+func applyCost(blocks int) (float64, error) {
+	r := spread.NewReplica(targetSites, newBlocks(blocks))
+	return processorMicros(measuredChanges, func(i int) {
 		r.Advance([]spread.Change{{Kind: spread.SetLeaving, Site: spread.Site(i % targetSites), Weight: 0}})
 	})
 }
 
-func epochOf(changes int) spread.Epoch {
+func newEpoch(changes int) spread.Epoch {
 	e := spread.Epoch{Number: 4_000_000, Digest: 1 << 63}
 	for i := range changes {
 		e.Changes = append(e.Changes, spread.Change{Version: id.Version(4_380_000 + i), Kind: spread.SetWeight, Site: 2000, Weight: 100})
@@ -59,7 +59,7 @@
 	return e
 }
 
-func clientBlocks(n int) [][]spread.Site {
+func newBlocks(n int) [][]spread.Site {
 	r := rand.New(rand.NewPCG(uint64(n), 1))
 	out := make([][]spread.Site, n)
 	for b := range out {
