--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -91,7 +91,7 @@
 
 func (r *Report) finish() {
 	for i := range r.Targets {
-		r.Targets[i].All = openloop.Of(r.Targets[i].merged)
+		r.Targets[i].All = openloop.PercentilesOf(r.Targets[i].merged)
 	}
 	if len(r.Targets) < MaxTargets {
 		return
--- a/internal/openloop/load.go
+++ b/internal/openloop/load.go
@@ -118,10 +118,10 @@
 }
 
 // Percentiles returns the percentiles of the latencies.
-func (r *Result) Percentiles() Percentiles { return Of(r.Latency) }
+func (r *Result) Percentiles() Percentiles { return PercentilesOf(r.Latency) }
 
-// Of returns the percentiles of a histogram of latencies in microseconds.
-func Of(h *hdrhistogram.Histogram) Percentiles {
+// PercentilesOf returns the percentiles of a histogram of latencies in microseconds.
+func PercentilesOf(h *hdrhistogram.Histogram) Percentiles {
 	at := func(q float64) unit.Duration { return micros(h.ValueAtQuantile(q)) }
 	return Percentiles{Count: h.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: micros(h.Max())}
 }
