--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -20,14 +20,14 @@
 
 // Check returns an error if the trace refers to an entry or class that does not
 // exist, or is not in order of time.
-func (w *Environment) Check(t *Trace) error {
+func (env *Environment) Check(t *Trace) error {
 	for i := range t.Requests {
 		r := &t.Requests[i]
-		if r.Entry < 0 || r.Entry >= len(w.Deployment.Entries) {
-			return eris.Errorf("request %d: no entry %d, the deployment has %d", i, r.Entry, len(w.Deployment.Entries))
+		if r.Entry < 0 || r.Entry >= len(env.Deployment.Entries) {
+			return eris.Errorf("request %d: no entry %d, the deployment has %d", i, r.Entry, len(env.Deployment.Entries))
 		}
-		if r.Class < 0 || r.Class >= len(w.Service.Classes) {
-			return eris.Errorf("request %d: no class %d, the service has %d", i, r.Class, len(w.Service.Classes))
+		if r.Class < 0 || r.Class >= len(env.Service.Classes) {
+			return eris.Errorf("request %d: no class %d, the service has %d", i, r.Class, len(env.Service.Classes))
 		}
 		if i > 0 && r.At < t.Requests[i-1].At {
 			return eris.Errorf("request %d arrives before the previous request", i)
@@ -37,11 +37,11 @@
 }
 
 // serverDelay returns the one-way network delay between an entry and a server.
-func (w *Environment) serverDelay(entry, server int) time.Duration {
-	return w.Deployment.Delay(w.Deployment.Entries[entry].Zone, w.Service.Servers[server].Zone)
+func (env *Environment) serverDelay(entry, server int) time.Duration {
+	return env.Deployment.Delay(env.Deployment.Entries[entry].Zone, env.Service.Servers[server].Zone)
 }
 
 // entryDelay returns the one-way network delay between two entries.
-func (w *Environment) entryDelay(a, b int) time.Duration {
-	return w.Deployment.Delay(w.Deployment.Entries[a].Zone, w.Deployment.Entries[b].Zone)
+func (env *Environment) entryDelay(a, b int) time.Duration {
+	return env.Deployment.Delay(env.Deployment.Entries[a].Zone, env.Deployment.Entries[b].Zone)
 }
