--- a/internal/capacity/carrying.go
+++ b/internal/capacity/carrying.go
@@ -246,8 +246,7 @@
 	return f.sendCost(func() error { return f.send(http.MethodGet, f.entryURL+lookupPath, nil) })
 }
 
-// uploadHeap returns the heap used by n uploads in progress, of which 512 KiB each
-// have been sent.
+// uploadHeap returns the heap used by n uploads in progress, each with 512 KiB sent.
 func uploadHeap(n int) (float64, error) {
 	const sent = 512 << 10
 	f, err := newFixture(1)
