--- a/internal/trial/callers.go
+++ b/internal/trial/callers.go
@@ -24,40 +24,41 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
+// maxAnswer limits the bytes read of an answer's body.
 const maxAnswer = 64 << 10
 
 type (
-	// callers send requests as the callers of a deployment do, and record what
-	// they are told.
+	// callers sends requests as the callers of a deployment do and records the
+	// results.
 	callers struct {
-		clients  []*caller.Client // one near each entry
-		http     *http.Client
-		attempts *attempts
-		start    time.Time
-		planned  func(entry id.Instance) bool
-		first    []netip.AddrPort // entries to look up at
+		clients       []*caller.Client // one per entry, which it contacts first
+		http          *http.Client
+		attempts      *attempts
+		start         time.Time
+		shuttingDown  func(entry id.Instance) bool
+		lookupEntries []netip.AddrPort // entries that answer the lookups
 
 		mu  sync.Mutex
 		rng *rand.Rand
 	}
 
-	// request is what a caller wants done.
+	// request is a request of a caller, which may be sent several times.
 	request struct {
 		name     string
 		service  id.Service
 		class    *service.Class
-		near     int // the client that sends it
+		client   int // index of the client that sends it, modulo their number
 		body     func() io.Reader
 		size     int64
 		ticket   string
-		deadline time.Duration // 0 leaves it to the class
+		deadline time.Duration // 0 for the deadline of the class
 	}
 )
 
-// call sends the request by the callers' client, which sends it again where
-// that is safe.
-func (c *callers) call(ctx context.Context, r *request) error {
-	a := c.begin(r, r.name)
+// send sends the request through a [caller.Client], which retries where that is
+// safe, and records the result as one attempt.
+func (c *callers) send(ctx context.Context, r *request) error {
+	a := c.newAttempt(r, r.name)
 	req := &caller.Request{Service: r.service, Method: r.class.Methods[0], Path: r.path(), ID: a.ID}
 	if r.body != nil {
 		body, err := io.ReadAll(r.body())
@@ -66,66 +67,66 @@
 		}
 		req.Body = body
 	}
-	do := c.client(r.near).Do
+	do := c.client(r.client).Do
 	if r.class.Kind == service.Once {
-		do = c.client(r.near).Once
+		do = c.client(r.client).Once
 	}
 	answer, err := do(ctx, req)
 	if err == nil {
-		err = a.take(answer, r)
+		err = a.recordAnswer(answer, r)
 	} else {
-		a.fail(err)
+		a.recordError(err)
 	}
-	c.end(a)
+	c.record(a)
 	return err
 }
 
-// take reads an answer.
-func (a *Attempt) take(answer *caller.Answer, r *request) error {
+// recordAnswer records the client's answer and validates its body.
+func (a *Attempt) recordAnswer(answer *caller.Answer, r *request) error {
 	defer answer.Body.Close()
-	a.read(answer.Header)
+	a.recordHeader(answer.Header)
 	a.Code, a.Ran, a.Entry = answer.Code, answer.Ran, answer.Entry
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
-	a.Own = err == nil && own(string(body), r, a)
-	if !a.Own {
-		return eris.Errorf("answer %q is not whole or another's", body)
+	a.AnswerValid = err == nil && answerMatches(string(body), r, a)
+	if !a.AnswerValid {
+		return eris.Errorf("answer %q is incomplete or belongs to another request", body)
 	}
 	return nil
 }
 
-// fail reads the client's error.
-func (a *Attempt) fail(err error) {
+// recordError records the result code of the client's error.
+func (a *Attempt) recordError(err error) {
 	var e *caller.Error
 	if errors.As(err, &e) {
 		a.Code, a.Ran = e.Code, e.Ran
 	}
 }
 
-func (c *callers) begin(r *request, name string) *Attempt {
-	return &Attempt{ID: name, Request: r.name, Service: r.service, Kind: r.class.Kind, Short: r.deadline > 0, Began: time.Since(c.start)}
+func (c *callers) newAttempt(r *request, name string) *Attempt {
+	return &Attempt{ID: name, Request: r.name, Service: r.service, Kind: r.class.Kind, ShortDeadline: r.deadline > 0, Began: time.Since(c.start)}
 }
 
-// end records the attempt.
-func (c *callers) end(a *Attempt) {
+// record completes the attempt and adds it to the recorded ones.
+func (c *callers) record(a *Attempt) {
 	a.Ended = time.Since(c.start)
-	a.Planned = (a.Planned || c.planned(a.Entry)) && !a.Short
+	a.DuringShutdown = (a.DuringShutdown || c.shuttingDown(a.Entry)) && !a.ShortDeadline
 	c.attempts.add(*a)
 }
 
-// sendTwice sends a once-only request, and then the same again with the same
-// ticket, as a caller does that missed the answer.
+// sendTwice sends an at-most-once request and, once it was served, retries it
+// with the same ticket, as a caller does that lost the answer.
 func (c *callers) sendTwice(ctx context.Context, r *request) error {
-	e, err := c.ticket(ctx, r)
+	e, err := c.fetchTicket(ctx, r)
 	if err != nil {
 		return err
 	}
-	if _, err := c.attempt(ctx, r, 1, e); err != nil {
+	if _, err := c.sendOnce(ctx, r, 1, e); err != nil {
 		return err
 	}
 	for n := range c.clients {
-		r.near++
-		if e, err = c.choose(ctx, r); err == nil {
-			_, err = c.attempt(ctx, r, n+2, e)
+		r.client++
+		if e, err = c.chooseEntry(ctx, r); err == nil {
+			_, err = c.sendOnce(ctx, r, n+2, e)
 		}
 		if err == nil {
 			return nil
@@ -134,42 +135,43 @@
 	return err
 }
 
-// ticket takes a ticket from the first entry that gives one, and returns it.
-func (c *callers) ticket(ctx context.Context, r *request) (e lookup.Entry, err error) {
+// fetchTicket requests a ticket, through one client after another until an entry
+// issues it, stores it in the request, and returns the entry.
+func (c *callers) fetchTicket(ctx context.Context, r *request) (e lookup.Entry, err error) {
 	for range c.clients {
 		var t lookup.Ticket
-		if e, err = c.choose(ctx, r); err == nil {
+		if e, err = c.chooseEntry(ctx, r); err == nil {
 			err = c.getJSON(ctx, http.MethodPost, fmt.Sprintf("http://%s/v1/ticket/%s", e.Address, r.service), &t)
 		}
 		if err == nil {
 			r.ticket = t.Ticket
 			return e, nil
 		}
-		r.near++
+		r.client++
 	}
-	return e, eris.Wrap(err, "take a ticket")
+	return e, eris.Wrap(err, "get ticket")
 }
 
-func (c *callers) client(near int) *caller.Client { return c.clients[near%len(c.clients)] }
+func (c *callers) client(n int) *caller.Client { return c.clients[n%len(c.clients)] }
 
-// choose picks an entry by weight.
-func (c *callers) choose(ctx context.Context, r *request) (lookup.Entry, error) {
-	answer, err := c.client(r.near).Lookup(ctx, r.service)
+// chooseEntry looks up the entries of the service and picks one by weight.
+func (c *callers) chooseEntry(ctx context.Context, r *request) (lookup.Entry, error) {
+	answer, err := c.client(r.client).Lookup(ctx, r.service)
 	if err != nil {
 		return lookup.Entry{}, err
 	}
-	if e, ok := c.weighted(answer.Entries); ok {
+	if e, ok := c.pickWeighted(answer.Entries); ok {
 		return e, nil
 	}
-	return lookup.Entry{}, eris.New("look-up names no entry")
+	return lookup.Entry{}, eris.New("no entry with a weight in the lookup's answer")
 }
 
-// ask looks up at an entry.
-func (c *callers) ask(ctx context.Context, at netip.AddrPort, of id.Service) (a lookup.Answer, err error) {
+// lookupAt sends an uncached lookup of a service to an entry.
+func (c *callers) lookupAt(ctx context.Context, at netip.AddrPort, of id.Service) (a lookup.Answer, err error) {
 	return a, c.getJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/lookup/%s", at, of), &a)
 }
 
-func (c *callers) weighted(entries []lookup.Entry) (lookup.Entry, bool) {
+func (c *callers) pickWeighted(entries []lookup.Entry) (lookup.Entry, bool) {
 	sum := 0
 	for _, e := range entries {
 		sum += e.Weight
@@ -189,18 +191,20 @@
 	return lookup.Entry{}, false
 }
 
-// attempt sends the request once to an entry and records what came of it.
-func (c *callers) attempt(ctx context.Context, r *request, n int, e lookup.Entry) (result.Ran, error) {
-	a := c.begin(r, fmt.Sprintf("%s.%d", r.name, n))
-	a.Entry, a.Planned = e.Instance, c.planned(e.Instance)
-	err := c.exchange(ctx, r, e, a)
-	c.end(a)
+// sendOnce sends the request to an entry, without retries, and records the
+// result as attempt n.
+func (c *callers) sendOnce(ctx context.Context, r *request, n int, e lookup.Entry) (result.Ran, error) {
+	a := c.newAttempt(r, fmt.Sprintf("%s.%d", r.name, n))
+	a.Entry, a.DuringShutdown = e.Instance, c.shuttingDown(e.Instance)
+	err := c.roundTrip(ctx, r, e, a)
+	c.record(a)
 	return a.Ran, err
 }
 
-// exchange sends one request and reads its answer into a.
-func (c *callers) exchange(ctx context.Context, r *request, e lookup.Entry, a *Attempt) error {
-	req, err := c.request(ctx, r, e, a.ID)
+// roundTrip sends one request, reads its answer into a, and returns an error
+// unless the request was served with a valid answer.
+func (c *callers) roundTrip(ctx context.Context, r *request, e lookup.Entry, a *Attempt) error {
+	req, err := c.newRequest(ctx, r, e, a.ID)
 	if err != nil {
 		return err
 	}
@@ -213,19 +217,19 @@
 		return err
 	}
 	defer resp.Body.Close()
-	a.read(resp.Header)
+	a.recordHeader(resp.Header)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if resp.StatusCode != http.StatusOK || a.Code != result.Served && a.Code != result.Replayed {
 		return eris.Errorf("status %d, code %d", resp.StatusCode, a.Code)
 	}
-	a.Own = err == nil && own(string(body), r, a)
-	if !a.Own {
-		return eris.Errorf("answer %q is not whole or another's", body)
+	a.AnswerValid = err == nil && answerMatches(string(body), r, a)
+	if !a.AnswerValid {
+		return eris.Errorf("answer %q is incomplete or belongs to another request", body)
 	}
 	return nil
 }
 
-func (c *callers) request(ctx context.Context, r *request, e lookup.Entry, name string) (*http.Request, error) {
+func (c *callers) newRequest(ctx context.Context, r *request, e lookup.Entry, name string) (*http.Request, error) {
 	var body io.Reader
 	if r.body != nil {
 		body = r.body()
@@ -237,7 +241,7 @@
 	}
 	if r.body != nil {
 		req.ContentLength = r.size
-		req.GetBody = nil // a transport must not send the body again by itself
+		req.GetBody = nil // the transport must not retry by itself
 	}
 	req.Header.Set(result.HeaderRequestID, name)
 	if r.deadline > 0 {
@@ -252,12 +256,12 @@
 // path returns the path within the service.
 func (r *request) path() string { return strings.TrimSuffix(r.class.PathPrefix, "/") + "/" + r.name }
 
-// read takes over what an answer's header says.
-func (a *Attempt) read(h http.Header) {
+// recordHeader records the result fields of an answer's header.
+func (a *Attempt) recordHeader(h http.Header) {
 	if code, err := strconv.Atoi(h.Get(result.HeaderCode)); err == nil {
 		a.Code = result.Code(code)
 	}
-	// An answer without the header leaves it unknown.
+	// Without the header, Ran stays result.Unknown.
 	_ = a.Ran.UnmarshalText([]byte(h.Get(result.HeaderRan)))
 	a.Server = id.Server(h.Get(result.HeaderServer))
 	if version, err := strconv.ParseUint(h.Get(result.HeaderVersion), 10, 64); err == nil {
@@ -265,9 +269,11 @@
 	}
 }
 
-// own tells whether the text is the whole answer of a stand-in to the request:
-// the id of one of its attempts, the server's name and the body's size.
-func own(text string, r *request, a *Attempt) bool {
+// answerMatches reports whether the text is the complete answer of a stand-in to
+// the request: the ID of the attempt, the server's name and the size of the
+// request's body. The answer to an at-most-once request may be a replay, with
+// the ID of another attempt of the same request.
+func answerMatches(text string, r *request, a *Attempt) bool {
 	var name, server string
 	var size int64
 	if n, err := fmt.Sscanf(text, "%s %s %d\n", &name, &server, &size); n != 3 || err != nil {
@@ -293,7 +299,8 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration and reports whether it passed before ctx ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -1,13 +1,18 @@
-// Package trial runs a whole deployment in one process, on loopback and with
-// its one-way delays, puts the everyday faults on it, and holds what was seen
-// against the promises.
+// Package trial runs a complete deployment in one process, on loopback with the
+// deployment's one-way network delays, under load and routine disruptions, and
+// checks the system's guarantees against the results.
 //
-// A [Trial] starts the stand-ins and every entry, publishes the service files
-// twice, carries look-ups, reads, once-only writes with deliberate resends and
-// uploads, drains the backend server that runs a long upload, and stops the
-// entry that carries another. What callers were told is kept as [Attempt]s;
-// what really happened is read from the stand-ins' own records. A [Promise]
-// that had nothing to be held against counts as broken.
+// A [Trial] starts the stand-ins and all entries, publishes the service files
+// twice, and sends lookups, reads, at-most-once writes with deliberate retries,
+// and uploads. Meanwhile it drains the backend server that runs a long upload
+// and shuts down the entry that carries another one. The results that callers
+// received are recorded as [Attempt]s; the actual executions are read from the
+// records of the stand-ins. A [Promise] for which nothing could be checked
+// counts as broken.
+//
+// Run returns an error if the trial itself failed; broken promises are reported
+// in the [Report] only. Durations in the report are in seconds and rates in
+// requests or bits per second.
 //
 // # Usage
 //
--- a/internal/trial/judge.go
+++ b/internal/trial/judge.go
@@ -11,78 +11,79 @@
 )
 
 const (
-	// maxSpread is the time, in seconds, within which an accepted
-	// configuration must be in force everywhere.
-	maxSpread = 10.0
-	// maxExamples bounds the broken cases that are named.
+	// maxRolloutSeconds is the time within which an accepted configuration must
+	// be active at all entries.
+	maxRolloutSeconds = 10.0
+	// maxExamples limits the violations that are listed for each promise.
 	maxExamples = 3
 )
 
 type (
-	// Promise is one of what must always hold, with what was seen.
+	// Promise is the result of checking one guarantee of the system.
 	Promise struct {
-		// Name is the promise in short.
+		// Name states the guarantee.
 		Name string `json:"name"`
-		// Kept tells whether it held for all that was checked.
+		// Kept reports whether there were checks and all of them passed.
 		Kept bool `json:"kept"`
-		// Checked counts what it was held against.
+		// Checked is the number of checks.
 		Checked int `json:"checked"`
-		// Seen says what was seen.
+		// Seen summarises the observations or the violations as text.
 		Seen string `json:"seen"`
 	}
 
-	// verdict collects what is seen of one promise.
-	verdict struct {
-		checked int
-		broken  []string
+	// evaluation collects the checks of one promise.
+	evaluation struct {
+		checked    int
+		violations []string
 	}
 )
 
-// Judge holds what was seen against the promises.
-func Judge(o *Observed) []Promise {
+// Evaluate checks the promises against the observations, except the one about
+// failed requests, which evaluateServed checks with the latency report.
+func Evaluate(o *Observed) []Promise {
 	return []Promise{
-		judgeShift(o), judgeServers(o), judgeLinks(o), judgeAnswers(o), judgeNotRun(o),
-		judgeOnce(o), judgeLeaving(o), judgeStop(o), judgeVersions(o),
+		evaluateShift(o), evaluateServers(o), evaluateLinks(o), evaluateAnswers(o), evaluateNotRun(o),
+		evaluateAtMostOnce(o), evaluateDraining(o), evaluateShutdown(o), evaluateVersions(o),
 	}
 }
 
-func (v *verdict) check(ok bool, format string, args ...any) {
+func (v *evaluation) check(ok bool, format string, args ...any) {
 	v.checked++
 	if !ok {
-		v.broken = append(v.broken, fmt.Sprintf(format, args...))
+		v.violations = append(v.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-func (v *verdict) promise(name, seen string) Promise {
-	p := Promise{Name: name, Kept: len(v.broken) == 0 && v.checked > 0, Checked: v.checked, Seen: seen}
+func (v *evaluation) promise(name, seen string) Promise {
+	p := Promise{Name: name, Kept: len(v.violations) == 0 && v.checked > 0, Checked: v.checked, Seen: seen}
 	switch {
 	case v.checked == 0:
-		p.Seen = "nothing to hold it against"
-	case len(v.broken) > 0:
-		examples := v.broken[:min(len(v.broken), maxExamples)]
-		p.Seen = fmt.Sprintf("broken %d times, such as %q", len(v.broken), examples)
+		p.Seen = "nothing to check"
+	case len(v.violations) > 0:
+		examples := v.violations[:min(len(v.violations), maxExamples)]
+		p.Seen = fmt.Sprintf("violated %d times, for example %q", len(v.violations), examples)
 	}
 	return p
 }
 
-func judgeShift(o *Observed) Promise {
-	var v verdict
-	greatest := Rise{Cap: 1}
+func evaluateShift(o *Observed) Promise {
+	var v evaluation
+	largest := Rise{Cap: 1}
 	for _, r := range o.Rises {
-		v.check(r.Greatest <= r.Cap, "%s toward %s rose by %.1f requests/s, cap %.1f", r.Service, r.Region, r.Greatest, r.Cap)
-		if r.Greatest/r.Cap > greatest.Greatest/greatest.Cap {
-			greatest = r
+		v.check(r.Max <= r.Cap, "%s toward %s rose by %.1f requests/s, cap %.1f", r.Service, r.Region, r.Max, r.Cap)
+		if r.Max/r.Cap > largest.Max/largest.Cap {
+			largest = r
 		}
 	}
 	return v.promise("a shift toward a region stays under its cap",
-		fmt.Sprintf("greatest rise %.1f of %.1f requests/s, %s toward %s", greatest.Greatest, greatest.Cap, greatest.Service, greatest.Region))
+		fmt.Sprintf("largest rise %.1f of %.1f requests/s, %s toward %s", largest.Max, largest.Cap, largest.Service, largest.Region))
 }
 
-func judgeServers(o *Observed) Promise {
-	var v verdict
+func evaluateServers(o *Observed) Promise {
+	var v evaluation
 	used, full := 0, 0
-	for _, p := range o.Peaks {
-		v.check(p.Running <= p.Slots && p.Overloads == 0, "%s ran %d requests on %d slots", p.Server, p.Running, p.Slots)
+	for _, p := range o.ServerPeaks {
+		v.check(p.Running <= p.Slots && p.Overloads == 0, "%s ran %d requests at once with %d slots", p.Server, p.Running, p.Slots)
 		v.check(p.Open <= p.Connections && p.Refused == 0, "%s had %d connections of %d, %d refused", p.Server, p.Open, p.Connections, p.Refused)
 		if p.Running > 0 {
 			used++
@@ -95,104 +96,104 @@
 		v.checked = 0
 	}
 	return v.promise("no backend server gets more requests than slots",
-		fmt.Sprintf("%d backend servers ran requests, %d of them had all slots in use at once", used, full))
+		fmt.Sprintf("%d backend servers ran requests, %d of them used all slots at once", used, full))
 }
 
-func judgeLinks(o *Observed) Promise {
-	var v verdict
-	least := 1.0
+func evaluateLinks(o *Observed) Promise {
+	var v evaluation
+	smallest := 1.0
 	for _, l := range o.Links {
 		v.check(l.Peak <= l.Budget, "%s to %s carried %.1f of %.1f Mbit/s", l.From, l.To, l.Peak/1e6, l.Budget/1e6)
-		least = min(least, l.Headroom)
+		smallest = min(smallest, l.Headroom)
 	}
-	return v.promise("no link carries more than entries may send", fmt.Sprintf("least headroom of a direction %.1f%%", 100*least))
+	return v.promise("no link carries more than entries may send", fmt.Sprintf("smallest headroom of a link direction %.1f%%", 100*smallest))
 }
 
-func judgeAnswers(o *Observed) Promise {
-	var v verdict
+func evaluateAnswers(o *Observed) Promise {
+	var v evaluation
 	for _, a := range o.Attempts {
 		if a.Code == result.Served || a.Code == result.Replayed {
-			v.check(a.Own, "attempt %s got a part or another answer", a.ID)
+			v.check(a.AnswerValid, "attempt %s got an incomplete answer or that of another request", a.ID)
 		}
 	}
-	return v.promise("callers get the whole answer to their own request", fmt.Sprintf("%d answers, each whole and the request's own", v.checked))
+	return v.promise("callers get the whole answer to their own request", fmt.Sprintf("%d answers, all complete and to the right request", v.checked))
 }
 
-func judgeNotRun(o *Observed) Promise {
-	var v verdict
+func evaluateNotRun(o *Observed) Promise {
+	var v evaluation
 	for _, a := range o.Attempts {
 		if a.Code != 0 && a.Ran == result.No {
-			v.check(o.Ran[a.ID].Count == 0, "attempt %s was told not run with code %d and ran on %v", a.ID, a.Code, o.Ran[a.ID].Servers)
+			v.check(o.Executions[a.ID].Count == 0, "attempt %s was reported as not run with code %d but ran on %v", a.ID, a.Code, o.Executions[a.ID].Servers)
 		}
 	}
-	return v.promise("what is told not run was not run", fmt.Sprintf("%d attempts were told so, none of them ran", v.checked))
+	return v.promise("what is told not run was not run", fmt.Sprintf("%d attempts were reported as not run, none of them ran", v.checked))
 }
 
-func judgeOnce(o *Observed) Promise {
-	var v verdict
+func evaluateAtMostOnce(o *Observed) Promise {
+	var v evaluation
 	runs := map[string]int{}
 	sends := 0
 	for _, a := range o.Attempts {
 		if a.Kind == service.Once {
-			runs[a.Request] += o.Ran[a.ID].Count
+			runs[a.Request] += o.Executions[a.ID].Count
 			sends++
 		}
 	}
 	for request, count := range runs {
 		v.check(count <= 1, "request %s was executed %d times", request, count)
 	}
-	slices.Sort(v.broken)
-	return v.promise("once-only requests are executed at most once", fmt.Sprintf("%d requests in %d sends, none executed twice", len(runs), sends))
+	slices.Sort(v.violations)
+	return v.promise("once-only requests are executed at most once", fmt.Sprintf("%d requests in %d attempts, none executed twice", len(runs), sends))
 }
 
-func judgeLeaving(o *Observed) Promise {
-	var v verdict
-	if o.LateLooked {
-		v.check(len(o.Late) == 0, "%d requests began there later: %v", len(o.Late), o.Late[:min(len(o.Late), maxExamples)])
+func evaluateDraining(o *Observed) Promise {
+	var v evaluation
+	if o.LateChecked {
+		v.check(len(o.LateRequests) == 0, "%d requests started there later: %v", len(o.LateRequests), o.LateRequests[:min(len(o.LateRequests), maxExamples)])
 	}
-	return v.promise("a leaving backend server gets no new work after 3 s", "none began there later")
+	return v.promise("a leaving backend server gets no new work after 3 s", "no request started there later")
 }
 
-func judgeStop(o *Observed) Promise {
-	var v verdict
+func evaluateShutdown(o *Observed) Promise {
+	var v evaluation
 	for _, u := range o.Uploads {
-		v.check(u.Whole, "the upload through %s was cut", u.Through)
-		v.check(u.Outlasted, "the upload through %s ended before the stop could have cut it", u.Through)
+		v.check(u.Complete, "the upload through %s was interrupted", u.Via)
+		v.check(u.Outlasted, "the upload through %s ended too early for the stop to interrupt it", u.Via)
 	}
-	v.check(o.Stopped.Clean, "%s did not end by itself", o.Stopped.Instance)
-	during := 0
+	v.check(o.Shutdown.Clean, "%s did not terminate by itself without an error", o.Shutdown.Instance)
+	inProgress := 0
 	for _, a := range o.Attempts {
-		if !a.Planned {
+		if !a.DuringShutdown {
 			continue
 		}
-		during++
+		inProgress++
 		v.check(a.Ran != result.Unknown, "attempt %s at %s ended with code %d", a.ID, a.Entry, a.Code)
 	}
-	if during == 0 || len(o.Uploads) == 0 {
+	if inProgress == 0 || len(o.Uploads) == 0 {
 		v.checked = 0
 	}
 	return v.promise("a planned stop cuts no running request",
-		fmt.Sprintf("%d long uploads and %d requests under way during the stops, none cut", len(o.Uploads), during))
+		fmt.Sprintf("%d long uploads and %d requests in progress during the stops, none interrupted", len(o.Uploads), inProgress))
 }
 
-func judgeVersions(o *Observed) Promise {
-	var v verdict
+func evaluateVersions(o *Observed) Promise {
+	var v evaluation
 	slowest := 0.0
 	for _, p := range o.Versions {
-		v.check(p.Reached && p.Everywhere <= maxSpread, "version %d took %.1f s", p.Version, p.Everywhere)
-		slowest = max(slowest, p.Everywhere)
+		v.check(p.Complete && p.RolloutSeconds <= maxRolloutSeconds, "version %d took %.1f s", p.Version, p.RolloutSeconds)
+		slowest = max(slowest, p.RolloutSeconds)
 	}
 	for _, all := range byEntry(o.Attempts) {
-		v.checkRising(all)
+		v.checkMonotonic(all)
 	}
 	if len(o.Versions) < 2 {
 		v.checked = 0
 	}
 	return v.promise("an accepted configuration is in force everywhere within seconds and never reverts",
-		fmt.Sprintf("%d versions, in force at every entry after at most %.2f s, none reverted", len(o.Versions), slowest))
+		fmt.Sprintf("%d versions, active at all entries after at most %.2f s, none reverted", len(o.Versions), slowest))
 }
 
-// byEntry returns the attempts that were answered with a version.
+// byEntry groups by entry the attempts whose answers contained a version.
 func byEntry(all []Attempt) map[id.Instance][]Attempt {
 	out := map[id.Instance][]Attempt{}
 	for _, a := range all {
@@ -203,9 +204,9 @@
 	return out
 }
 
-// checkRising checks that an attempt that began after another at the same
-// entry had ended was not answered with an older version.
-func (v *verdict) checkRising(all []Attempt) {
+// checkMonotonic checks the attempts at one entry: an attempt that began after
+// another one had ended must not be answered with an older version.
+func (v *evaluation) checkMonotonic(all []Attempt) {
 	began := slices.Clone(all)
 	slices.SortFunc(began, func(a, b Attempt) int { return cmp.Compare(a.Began, b.Began) })
 	slices.SortFunc(all, func(a, b Attempt) int { return cmp.Compare(a.Ended, b.Ended) })
@@ -219,10 +220,10 @@
 	}
 }
 
-// judgeServed holds the failures that callers were left with against the
-// promise that they reach a backend server.
-func judgeServed(rows []Latency) Promise {
-	var v verdict
+// evaluateServed checks that callers reach a backend server: no request or
+// lookup may have failed after the client's retries.
+func evaluateServed(rows []Latency) Promise {
+	var v evaluation
 	sent := 0
 	for _, l := range rows {
 		v.check(l.Failed == 0, "%d of %d of %s/%s failed: %s", l.Failed, l.Sent, l.Service, l.Class, l.FirstError)
@@ -231,5 +232,5 @@
 	if sent == 0 {
 		v.checked = 0
 	}
-	return v.promise("callers reach a backend server that can answer", fmt.Sprintf("%d requests and look-ups, all served", sent))
+	return v.promise("callers reach a backend server that can answer", fmt.Sprintf("%d requests and lookups, all served", sent))
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -19,45 +19,47 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// Rates and sizes of the load.
+// Rates of the load by class, in requests per second, and sizes in bytes.
 const (
-	lookupRate     = unit.Rate(100)
-	onceRate       = unit.Rate(10)
-	uploadRate     = unit.Rate(1)
-	readsPerSlot   = 1.0 / 3
-	onceBytes      = 2 << 10
-	smallUpload    = 256 << 10
-	resendEvery    = 10
+	lookupRate   = unit.Rate(100)
+	onceRate     = unit.Rate(10)
+	uploadRate   = unit.Rate(1)
+	readsPerSlot = 1.0 / 3 // rate of reads for each slot of the service
+	onceBytes    = 2 << 10
+	smallUpload  = 256 << 10
+	// every retryEvery-th at-most-once request is retried after it was served
+	retryEvery     = 10
 	requestTimeout = 10 * time.Second
 	bitsPerByte    = 8
 )
 
-// The squeeze of the upload service.
+// Parameters of the overload of the upload service.
 const (
-	squeezeAt       = 9 * time.Second
-	squeezeCount    = 120
-	squeezeSlower   = 700 * time.Millisecond
-	squeezeDeadline = time.Second
+	overloadAt       = 9 * time.Second
+	overloadRequests = 120
+	overloadDelay    = 700 * time.Millisecond
+	overloadDeadline = time.Second
 )
 
-// load sends the whole load and returns when all of it has ended.
+// load generates the load of all services and returns when all requests have
+// ended.
 func (r *run) load(ctx context.Context) {
 	var all sync.WaitGroup
 	rows := make(chan Latency, 16)
 	seed := r.Seed
-	begin := func(of id.Service, class id.Class, rate unit.Rate, do func(context.Context, int) error) {
+	start := func(of id.Service, class id.Class, rate unit.Rate, do func(context.Context, int) error) {
 		seed++
-		l := openloop.Load{Rate: rate, Duration: loadTime, Seed: seed}
+		l := openloop.Load{Rate: rate, Duration: loadDuration, Seed: seed}
 		all.Go(func() {
 			result := l.Run(ctx, do)
-			rows <- row(of, class, &result)
+			rows <- newLatency(of, class, &result)
 		})
 	}
 	for _, f := range r.system.fleet.Files {
-		begin(f.Service, "lookup", lookupRate, r.lookups(f.Service))
+		start(f.Service, "lookup", lookupRate, r.lookups(f.Service))
 		for i := range f.Classes {
 			c := &f.Classes[i]
-			begin(f.Service, c.Name, rate(f, c), r.requests(f.Service, c))
+			start(f.Service, c.Name, rate(f, c), r.requests(f.Service, c))
 		}
 	}
 	go func() {
@@ -73,7 +75,7 @@
 	})
 }
 
-func row(of id.Service, class id.Class, result *openloop.Result) Latency {
+func newLatency(of id.Service, class id.Class, result *openloop.Result) Latency {
 	l := Latency{Service: of, Class: class, Sent: result.Sent, Failed: result.Failed, Percentiles: result.Percentiles()}
 	if result.FirstError != nil {
 		l.FirstError = result.FirstError.Error()
@@ -92,10 +94,10 @@
 	}
 }
 
-// lookups returns the load of uncached look-ups, spread over the entries.
+// lookups returns a function that sends uncached lookups to the entries in turn.
 func (r *run) lookups(of id.Service) func(context.Context, int) error {
 	return func(ctx context.Context, n int) error {
-		_, err := r.callers.ask(ctx, r.callers.first[n%len(r.callers.first)], of)
+		_, err := r.callers.lookupAt(ctx, r.callers.lookupEntries[n%len(r.callers.lookupEntries)], of)
 		return err
 	}
 }
@@ -104,39 +106,40 @@
 	return func(ctx context.Context, n int) error {
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		q := &request{name: fmt.Sprintf("%s-%s-%d", of, c.Name, n), service: of, class: c, near: n, size: size(c)}
+		q := &request{name: fmt.Sprintf("%s-%s-%d", of, c.Name, n), service: of, class: c, client: n, size: size(c)}
 		if q.size > 0 {
 			body := make([]byte, q.size)
 			q.body = func() io.Reader { return bytes.NewReader(body) }
 		}
-		if c.Kind == service.Once && n%resendEvery == 0 {
+		if c.Kind == service.Once && n%retryEvery == 0 {
 			return r.callers.sendTwice(ctx, q)
 		}
-		return r.callers.call(ctx, q)
+		return r.callers.send(ctx, q)
 	}
 }
 
-// squeeze makes the backend servers of the upload service slow for a while and
-// sends more requests at once than they have slots, with short deadlines. Some
-// are refused, and what they are told is held against the servers' records.
-func (r *run) squeeze(ctx context.Context) error {
-	if !r.until(ctx, squeezeAt) {
+// overload delays the answers of the upload service's backend servers for a
+// while and sends more requests at once than the servers have slots, with short
+// deadlines. Some are rejected, and the evaluation compares those reported as not
+// run with the servers' records.
+func (r *run) overload(ctx context.Context) error {
+	if !r.waitUntil(ctx, overloadAt) {
 		return ctx.Err()
 	}
-	read := r.readClass()
+	read := r.uploadServiceReadClass()
 	if read == nil {
 		return nil
 	}
-	r.progress("%d requests at once on %d slots of slow backend servers", squeezeCount, r.uploads.Slots())
-	r.slowDown(squeezeSlower)
-	defer r.slowDown(0)
+	r.progress("sending %d requests at once to %d slots of slowed-down backend servers", overloadRequests, r.uploadService.Slots())
+	r.setServerDelay(overloadDelay)
+	defer r.setServerDelay(0)
 	var all sync.WaitGroup
-	for n := range squeezeCount {
+	for n := range overloadRequests {
 		all.Go(func() {
-			q := &request{name: fmt.Sprintf("squeeze-%d", n), service: r.uploads.Service, class: read, near: n, deadline: squeezeDeadline}
-			// Many of them are meant to fail; their attempts are recorded.
-			if e, err := r.callers.choose(ctx, q); err == nil {
-				_, _ = r.callers.attempt(ctx, q, 1, e)
+			q := &request{name: fmt.Sprintf("squeeze-%d", n), service: r.uploadService.Service, class: read, client: n, deadline: overloadDeadline}
+			// Many are expected to fail; the attempts record the results.
+			if e, err := r.callers.chooseEntry(ctx, q); err == nil {
+				_, _ = r.callers.sendOnce(ctx, q, 1, e)
 			}
 		})
 	}
@@ -144,18 +147,18 @@
 	return nil
 }
 
-func (r *run) readClass() *service.Class {
-	for i := range r.uploads.Classes {
-		if r.uploads.Classes[i].Kind == service.Read {
-			return &r.uploads.Classes[i]
+func (r *run) uploadServiceReadClass() *service.Class {
+	for i := range r.uploadService.Classes {
+		if r.uploadService.Classes[i].Kind == service.Read {
+			return &r.uploadService.Classes[i]
 		}
 	}
 	return nil
 }
 
-func (r *run) slowDown(by time.Duration) {
-	for i := range r.uploads.Servers {
-		r.system.fleet.Server(r.uploads.Service, r.uploads.Servers[i].Name).SetFaults(backend.Faults{Slower: by})
+func (r *run) setServerDelay(by time.Duration) {
+	for i := range r.uploadService.Servers {
+		r.system.fleet.Server(r.uploadService.Service, r.uploadService.Servers[i].Name).SetFaults(backend.Faults{Slower: by})
 	}
 }
 
@@ -170,12 +173,12 @@
 	}
 }
 
-// sample measures headroom until ctx ends.
-func (r *run) sample(ctx context.Context) {
+// sampleHeadroom measures the use of regions and links until ctx ends.
+func (r *run) sampleHeadroom(ctx context.Context) {
 	r.report.Regions = regions(r.system.fleet)
 	r.observed.Links = links(r.system.fleet)
 	sent, at := r.system.network.Sent(), time.Now()
-	for pause(ctx, sampleTime) {
+	for sleep(ctx, sampleInterval) {
 		sampleRegions(r.system.fleet, r.report.Regions)
 		now, then := r.system.network.Sent(), time.Now()
 		for i := range r.observed.Links {
@@ -229,32 +232,33 @@
 	return out
 }
 
-// recorded reads the stand-ins' records.
-func (r *run) recorded() (map[string]Ran, []Peak) {
-	ran := map[string]Ran{}
-	var peaks []Peak
+// readRecords reads the records of the backend server stand-ins: the executions
+// by attempt ID and the peak use of each server.
+func (r *run) readRecords() (map[string]Executions, []ServerPeak) {
+	ran := map[string]Executions{}
+	var peaks []ServerPeak
 	for _, f := range r.system.fleet.Files {
 		for i := range f.Servers {
 			s := &f.Servers[i]
 			record := r.system.fleet.Server(f.Service, s.Name).Record()
-			peaks = append(peaks, Peak{
+			peaks = append(peaks, ServerPeak{
 				Service: f.Service, Server: s.Name, Slots: s.Slots, Running: record.MaxRunning, Overloads: record.Overloads,
 				Connections: s.Connections, Open: record.MaxConnections, Refused: record.Refused,
 			})
 			for attempt, count := range record.Ran {
-				one := ran[attempt]
-				one.Count += count
-				one.Servers = append(one.Servers, s.Name)
-				ran[attempt] = one
+				e := ran[attempt]
+				e.Count += count
+				e.Servers = append(e.Servers, s.Name)
+				ran[attempt] = e
 			}
 		}
 	}
 	return ran, peaks
 }
 
-// rises returns the greatest rise toward each region: of the requests that
-// ended in two adjacent windows, the difference of the mean rates.
-func rises(f *fleet.Fleet, all []Attempt) []Rise {
+// maxRises returns the largest rise toward each region: the increase of the mean
+// rate of requests that ended in two adjacent windows.
+func maxRises(f *fleet.Fleet, all []Attempt) []Rise {
 	var out []Rise
 	for _, file := range f.Files {
 		for _, g := range file.Regions {
@@ -270,22 +274,24 @@
 				}
 			}
 			window := file.ShiftCap.Window.Std()
-			out = append(out, Rise{Service: file.Service, Region: g.Name, Cap: float64(file.ShiftCap.Rise), Greatest: greatestRise(times, window)})
+			out = append(out, Rise{Service: file.Service, Region: g.Name, Cap: float64(file.ShiftCap.Rise), Max: maxRise(times, window)})
 		}
 	}
 	return out
 }
 
-func greatestRise(times []time.Duration, window time.Duration) float64 {
+// maxRise returns the largest increase of the mean rate from one window to the
+// next, in requests per second. The later window begins at one of the times.
+func maxRise(times []time.Duration, window time.Duration) float64 {
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	within := func(from, to time.Duration) int {
 		first := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 		last := sort.Search(len(times), func(i int) bool { return times[i] >= to })
 		return last - first
 	}
-	greatest := 0
+	largest := 0
 	for _, t := range times {
-		greatest = max(greatest, within(t, t+window)-within(t-window, t))
+		largest = max(largest, within(t, t+window)-within(t-window, t))
 	}
-	return float64(greatest) / window.Seconds()
+	return float64(largest) / window.Seconds()
 }
--- a/internal/trial/observed.go
+++ b/internal/trial/observed.go
@@ -10,163 +10,165 @@
 )
 
 type (
-	// Attempt is one send of a request by a caller to an entry, as the caller
-	// saw it.
+	// Attempt is one attempt of a caller to send a request to an entry, with the
+	// result that the caller received.
 	Attempt struct {
-		// ID is the request id of the attempt.
+		// ID is the request ID of the attempt.
 		ID string
-		// Request names the request that it belongs to.
+		// Request is the name of the request that the attempt belongs to.
 		Request string
 		// Service is the request's service.
 		Service id.Service
 		// Kind is the kind of the request's class.
 		Kind service.Kind
-		// Entry is the entry that it was sent to.
+		// Entry is the entry to which the attempt was sent.
 		Entry id.Instance
-		// Server is the backend server that the answer names.
+		// Server is the backend server named in the answer.
 		Server id.Server
-		// Began is when the attempt was sent, from the start of the load.
+		// Began is the time of sending, since the start of the load.
 		Began time.Duration
-		// Ended is when the attempt ended, from the start of the load.
+		// Ended is the time of the answer or error, since the start of the load.
 		Ended time.Duration
-		// Code is the result code; 0 if no answer came.
+		// Code is the result code; 0 without an answer.
 		Code result.Code
-		// Ran is what the caller was told.
+		// Ran is the reported answer to whether the request ran.
 		Ran result.Ran
-		// Version is the configuration version of the answer; 0 without one.
+		// Version is the configuration version in the answer; 0 without one.
 		Version id.Version
-		// Own tells whether a served answer was whole and the request's own.
-		Own bool
-		// Short tells that the attempt has a deadline of its own that it is
-		// meant to miss.
-		Short bool
-		// Planned tells that the attempt was under way while a planned stop
-		// went on, and isn't short.
-		Planned bool
+		// AnswerValid reports whether the answer of a served attempt was complete
+		// and belonged to this request.
+		AnswerValid bool
+		// ShortDeadline marks an attempt that has its own short deadline instead
+		// of that of its class and is expected to miss it.
+		ShortDeadline bool
+		// DuringShutdown marks an attempt at an entry during that entry's
+		// graceful shutdown. It is false with ShortDeadline.
+		DuringShutdown bool
 	}
 
-	// Ran is what the stand-ins recorded of one attempt.
-	Ran struct {
-		// Count is how often it was run.
+	// Executions are the executions of one attempt, as recorded by the stand-ins.
+	Executions struct {
+		// Count is the number of executions.
 		Count int
-		// Servers lists where.
+		// Servers lists the backend servers that executed the attempt.
 		Servers []id.Server
 	}
 
-	// Peak is the greatest use of a backend server.
-	Peak struct {
+	// ServerPeak is the peak use of a backend server.
+	ServerPeak struct {
 		// Service is the server's service.
 		Service id.Service
 		// Server is the backend server.
 		Server id.Server
-		// Slots is what it has.
+		// Slots is its concurrency limit.
 		Slots int
-		// Running is the greatest number of requests at the same time.
+		// Running is the largest number of concurrent requests.
 		Running int
-		// Overloads counts requests that were run above the slots.
+		// Overloads is the number of requests that ran in excess of the slots.
 		Overloads int
-		// Connections is what it takes.
+		// Connections is its connection limit.
 		Connections int
-		// Open is the greatest number of connections.
+		// Open is the largest number of open connections.
 		Open int
-		// Refused counts connections over the limit.
+		// Refused is the number of connections refused over the limit.
 		Refused int
 	}
 
-	// Link is the greatest use of one direction between regions.
+	// Link is the peak use of one direction of a link between regions.
 	Link struct {
 		// From is the sending region.
 		From id.Region `json:"from"`
 		// To is the receiving region.
 		To id.Region `json:"to"`
-		// Budget is what entries may send, in bits a second.
+		// Budget is the bandwidth available to entries, in bits per second.
 		Budget float64 `json:"budgetBitsPerSecond"`
-		// Peak is the greatest mean over half a second, in bits a second.
+		// Peak is the largest mean over half a second, in bits per second.
 		Peak float64 `json:"peakBitsPerSecond"`
-		// Headroom is the share of the budget left at the peak.
+		// Headroom is the unused fraction of the budget at the peak.
 		Headroom float64 `json:"headroom"`
 	}
 
-	// Observed is all that a trial saw.
+	// Observed holds all observations of a trial.
 	Observed struct {
-		// Attempts holds what callers were told.
+		// Attempts holds the results that callers received.
 		Attempts []Attempt
-		// Ran holds what the stand-ins ran, by attempt id.
-		Ran map[string]Ran
-		// Peaks holds the use of the backend servers.
-		Peaks []Peak
-		// Links holds the use of the links.
+		// Executions holds the executions on the stand-ins, by attempt ID.
+		Executions map[string]Executions
+		// ServerPeaks holds the peak use of each backend server.
+		ServerPeaks []ServerPeak
+		// Links holds the peak use of each link direction.
 		Links []Link
-		// Rises holds the rises of requests toward regions.
+		// Rises holds the largest rise of each service toward each region.
 		Rises []Rise
-		// Late lists attempts that began at the leaving backend server after
-		// its grace time; LateLooked tells that they were looked for.
-		Late []string
-		// LateLooked tells that the leaving server was watched.
-		LateLooked bool
-		// Uploads holds the long uploads.
+		// LateRequests lists the attempts that started on the draining backend
+		// server after the grace period.
+		LateRequests []string
+		// LateChecked reports whether the draining server was checked for them.
+		LateChecked bool
+		// Uploads holds the long uploads during the drain and the shutdown.
 		Uploads []LongUpload
-		// Versions holds the publications.
+		// Versions holds the publications, in order.
 		Versions []Publication
-		// Stopped tells how the planned stop of an entry ended.
-		Stopped Stop
+		// Shutdown is the graceful shutdown of an entry.
+		Shutdown Shutdown
 	}
 
-	// Rise is the greatest rise of requests of a service toward a region.
+	// Rise is the largest increase of a service's request rate toward a region.
 	Rise struct {
 		// Service is the service.
 		Service id.Service `json:"service"`
 		// Region is the region.
 		Region id.Region `json:"region"`
-		// Cap is the cap on the rise in a window, in requests a second.
+		// Cap is the limit on the increase between windows, in requests per
+		// second.
 		Cap float64 `json:"cap"`
-		// Greatest is the greatest rise seen in a window.
-		Greatest float64 `json:"greatest"`
+		// Max is the largest increase observed, in requests per second.
+		Max float64 `json:"greatest"`
 	}
 
-	// LongUpload is an upload that lasts through a planned stop.
+	// LongUpload is an upload in progress during a drain or a graceful shutdown.
 	LongUpload struct {
-		// Through is what stops under it.
-		Through string `json:"through"`
-		// Bytes is its size.
+		// Via is the backend server that is drained or the entry that shuts down.
+		Via string `json:"through"`
+		// Bytes is the size of the body.
 		Bytes int64 `json:"bytes"`
-		// Whole tells whether its whole answer came.
-		Whole bool `json:"whole"`
-		// Outlasted tells whether it ended after the stop had begun to refuse
-		// new work.
+		// Complete reports whether the complete answer was received.
+		Complete bool `json:"whole"`
+		// Outlasted reports whether the upload ended after Via had stopped
+		// accepting new requests, so that it could have been interrupted.
 		Outlasted bool `json:"outlasted"`
 	}
 
 	// Publication is one publication of the service files.
 	Publication struct {
-		// Version is the accepted version.
+		// Version is the accepted configuration version.
 		Version id.Version `json:"version"`
-		// Everywhere is the time until every entry had it in force, in
-		// seconds.
-		Everywhere float64 `json:"everywhereSeconds"`
-		// Reached tells whether every entry got it.
-		Reached bool `json:"reached"`
+		// RolloutSeconds is the time until the version was active at all entries,
+		// in seconds.
+		RolloutSeconds float64 `json:"everywhereSeconds"`
+		// Complete reports whether the version became active at all entries.
+		Complete bool `json:"reached"`
 	}
 
-	// Stop is the planned stop of an entry.
-	Stop struct {
-		// Instance is the entry.
+	// Shutdown is the graceful shutdown of an entry.
+	Shutdown struct {
+		// Instance is the instance of the entry.
 		Instance id.Instance `json:"instance"`
-		// Took is the time from the signal to the end, in seconds.
+		// Took is the time from the request to shut down to the end, in seconds.
 		Took float64 `json:"tookSeconds"`
-		// Clean tells whether it ended by itself and without an error.
+		// Clean reports whether the entry terminated by itself without an error.
 		Clean bool `json:"clean"`
 	}
 
-	// attempts collects attempts of many callers.
+	// attempts collects the attempts of concurrent callers.
 	attempts struct {
 		mu  sync.Mutex
 		all []Attempt
 	}
 )
 
-func (a *attempts) add(one Attempt) {
+func (a *attempts) add(attempt Attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.all = append(a.all, one)
+	a.all = append(a.all, attempt)
 }
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -13,64 +13,64 @@
 const tabPadding = 2
 
 type (
-	// Report is what a trial saw.
+	// Report is the result of a trial.
 	Report struct {
 		// Deployment is the deployment's name.
 		Deployment string `json:"deployment"`
-		// Seed is the seed of the run's choices.
+		// Seed is the seed of the random choices.
 		Seed uint64 `json:"seed"`
-		// Took is the time of the whole trial, in seconds.
+		// Took is the duration of the trial, in seconds.
 		Took float64 `json:"tookSeconds"`
 		// Entries is the number of entries.
 		Entries int `json:"entries"`
 		// Servers is the number of backend servers.
 		Servers int `json:"servers"`
-		// Latency holds what callers saw, by class.
+		// Latency holds the latency for callers, by class.
 		Latency []Latency `json:"latency"`
-		// Regions holds the headroom of the regions.
+		// Regions holds the headroom of each service in each region.
 		Regions []Region `json:"regions"`
-		// Links holds the headroom of the links.
+		// Links holds the headroom of each link direction.
 		Links []Link `json:"links"`
-		// Drain tells how the leaving backend server was drained.
+		// Drain is the drain of a backend server.
 		Drain Drain `json:"drain"`
-		// Stopped tells how an entry was stopped.
-		Stopped Stop `json:"stopped"`
-		// Versions holds the publications.
+		// Shutdown is the graceful shutdown of an entry.
+		Shutdown Shutdown `json:"stopped"`
+		// Versions holds the publications, in order.
 		Versions []Publication `json:"versions"`
-		// Uploads holds the uploads that lasted through a stop.
+		// Uploads holds the long uploads during the drain and the shutdown.
 		Uploads []LongUpload `json:"uploads"`
-		// Promises holds the promises.
+		// Promises holds the checked guarantees.
 		Promises []Promise `json:"promises"`
 	}
 
-	// Latency is what callers of a class saw, from the scheduled time, look-up
-	// and resends included.
+	// Latency is the latency for callers of a class, from the scheduled time of
+	// sending, including lookups and retries.
 	Latency struct {
 		// Service is the service.
 		Service id.Service `json:"service"`
 		// Class is the class, or "lookup".
 		Class id.Class `json:"class"`
-		// Sent counts the requests.
+		// Sent is the number of requests.
 		Sent int `json:"sent"`
-		// Failed counts those that were not served in the end.
+		// Failed is the number of requests that were not served after all retries.
 		Failed int `json:"failed"`
-		// FirstError is the first reason for that.
+		// FirstError is the error of the first failed request.
 		FirstError string `json:"firstError,omitempty"`
-		// Percentiles holds the latencies of those served.
+		// Percentiles holds the latency percentiles of the served requests.
 		Percentiles openloop.Percentiles `json:"percentiles"`
 	}
 
-	// Region is the headroom of a service in a region, by the stand-ins.
+	// Region is the headroom of a service in a region, measured at the stand-ins.
 	Region struct {
 		// Service is the service.
 		Service id.Service `json:"service"`
 		// Region is the region.
 		Region id.Region `json:"region"`
-		// Slots is the sum of slots.
+		// Slots is the number of slots of the service's servers in the region.
 		Slots int `json:"slots"`
-		// Peak is the greatest number in use at a sample.
+		// Peak is the largest number of slots in use in a sample.
 		Peak int `json:"peak"`
-		// Headroom is the share left at the peak.
+		// Headroom is the unused fraction of the slots at the peak.
 		Headroom float64 `json:"headroom"`
 	}
 
@@ -80,20 +80,20 @@
 		Service id.Service `json:"service"`
 		// Server is the backend server.
 		Server id.Server `json:"server"`
-		// Took is the time from the command until nothing ran there, in
-		// seconds.
+		// Took is the time from the command until no request ran on the server,
+		// in seconds.
 		Took float64 `json:"tookSeconds"`
-		// Done tells whether it ended within the trial.
+		// Done reports whether the drain ended within the trial.
 		Done bool `json:"done"`
 	}
 )
 
-// Broken tells whether a promise was broken.
+// Broken reports whether a promise was broken.
 func (r *Report) Broken() bool {
 	return slices.ContainsFunc(r.Promises, func(p Promise) bool { return !p.Kept })
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as tables and plain text.
 func (r *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "deployment %s: %d entries, %d backend servers, seed %d, %.1f s\n", r.Deployment, r.Entries, r.Servers, r.Seed, r.Took)
 	t := tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0)
@@ -122,7 +122,7 @@
 	if r.Drain.Done {
 		drained = fmt.Sprintf("was drained in %.1f s", r.Drain.Took)
 	}
-	fmt.Fprintf(w, "\nbackend server %s of %s %s; entry %s stopped in %.1f s\n", r.Drain.Server, r.Drain.Service, drained, r.Stopped.Instance, r.Stopped.Took)
+	fmt.Fprintf(w, "\nbackend server %s of %s %s; entry %s stopped in %.1f s\n", r.Drain.Server, r.Drain.Service, drained, r.Shutdown.Instance, r.Shutdown.Took)
 	for _, l := range r.Latency {
 		if l.FirstError != "" {
 			fmt.Fprintf(w, "%s/%s: first failure: %s\n", l.Service, l.Class, l.FirstError)
--- a/internal/trial/stops.go
+++ b/internal/trial/stops.go
@@ -20,173 +20,179 @@
 	uploadChunk = 32 << 10
 )
 
-// upload sends a long upload through one entry, again if it was refused unrun,
-// and tells when it ended.
-func (r *run) upload(ctx context.Context, name string, through *member) (whole bool, ended time.Time) {
+// upload sends a long upload through an entry. While it is rejected without being
+// run, it is retried, for at most uploadAttempts attempts. upload returns whether
+// the complete answer was received, and the time of the end.
+func (r *run) upload(ctx context.Context, name string, via *runningEntry) (complete bool, ended time.Time) {
 	q := &request{
-		name: name, service: r.uploads.Service, class: r.class, size: uploadBytes,
+		name: name, service: r.uploadService.Service, class: r.uploadClass, size: uploadBytes,
 		body: func() io.Reader {
 			parts := time.Duration(uploadBytes / uploadChunk)
-			return &slow{ctx: ctx, rest: uploadBytes, chunk: uploadChunk, pause: uploadTime / parts}
+			return &throttledBody{ctx: ctx, remaining: uploadBytes, chunk: uploadChunk, interval: uploadDuration / parts}
 		},
 	}
-	e := lookup.Entry{Instance: through.entry.Name, Address: through.entry.Caller}
+	e := lookup.Entry{Instance: via.entry.Name, Address: via.entry.Caller}
 	for n := 1; ; n++ {
-		ran, err := r.callers.attempt(ctx, q, n, e)
+		ran, err := r.callers.sendOnce(ctx, q, n, e)
 		if err == nil {
 			return true, time.Now()
 		}
 		r.progress("upload %s: %s", name, err)
 		r.mu.Lock()
-		r.refused = err
+		r.lastRefusal = err
 		r.mu.Unlock()
-		if ran != result.No || n == uploadSends || !pause(ctx, sampleTime) {
+		if ran != result.No || n == uploadAttempts || !sleep(ctx, sampleInterval) {
 			return false, time.Now()
 		}
 	}
 }
 
-// drain sends a long upload, drains the backend server that runs it, and
-// watches what begins there later.
-func (r *run) drain(ctx context.Context) error {
+// drainServer sends a long upload, drains the backend server that runs it, and
+// records the requests that start on the server after the grace period.
+func (r *run) drainServer(ctx context.Context) error {
 	const name = "upload-drain"
 	type end struct {
-		whole bool
-		at    time.Time
+		complete bool
+		at       time.Time
 	}
 	ended := make(chan end, 1)
 	go func() {
-		whole, at := r.upload(ctx, name, r.system.entries[0])
-		ended <- end{whole, at}
+		complete, at := r.upload(ctx, name, r.system.entries[0])
+		ended <- end{complete, at}
 	}()
-	server, err := r.serverOf(ctx, name)
+	server, err := r.awaitServer(ctx, name)
 	if err != nil {
 		return err
 	}
-	if !r.until(ctx, drainAt) {
+	if !r.waitUntil(ctx, drainAt) {
 		return ctx.Err()
 	}
-	t := operator.Target{Service: r.uploads.Service, Server: server}
-	begun := time.Now()
+	t := operator.Target{Service: r.uploadService.Service, Server: server}
+	start := time.Now()
 	r.progress("draining %s, which runs a long upload", t.String())
-	// Another entry than the upload's is told, so that the news has to travel.
-	if _, err := r.system.entries[1].operate().Drain(ctx, t); err != nil {
+	// The command goes to an entry that doesn't carry the upload, so that the
+	// drain has to be propagated between entries.
+	if _, err := r.system.entries[1].operatorClient().Drain(ctx, t); err != nil {
 		return eris.Wrap(err, "drain")
 	}
-	pause(ctx, time.Until(begun.Add(graceTime)))
-	stand := r.system.fleet.Server(t.Service, t.Server)
-	before := stand.Record().Begun
-	r.awaitIdle(ctx, stand, begun)
+	sleep(ctx, time.Until(start.Add(gracePeriod)))
+	standin := r.system.fleet.Server(t.Service, t.Server)
+	before := standin.Record().Begun
+	r.awaitIdle(ctx, standin, start)
 	e := <-ended
-	r.until(ctx, loadTime)
-	r.drained(t, stand, before)
+	r.waitUntil(ctx, loadDuration)
+	r.recordLateRequests(t, standin, before)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observed.Uploads = append(r.observed.Uploads, LongUpload{
-		Through: t.String(), Bytes: uploadBytes, Whole: e.whole, Outlasted: e.at.After(begun.Add(graceTime)),
+		Via: t.String(), Bytes: uploadBytes, Complete: e.complete, Outlasted: e.at.After(start.Add(gracePeriod)),
 	})
 	return nil
 }
 
-// serverOf waits until a backend server runs the upload.
-func (r *run) serverOf(ctx context.Context, upload string) (id.Server, error) {
+// awaitServer waits until a backend server runs the upload and returns its name.
+func (r *run) awaitServer(ctx context.Context, upload string) (id.Server, error) {
 	for {
-		for i := range r.uploads.Servers {
-			name := r.uploads.Servers[i].Name
-			begun := r.system.fleet.Server(r.uploads.Service, name).Record().Begun
-			for n := range uploadSends {
-				if begun[fmt.Sprintf("%s.%d", upload, n+1)] > 0 {
+		for i := range r.uploadService.Servers {
+			name := r.uploadService.Servers[i].Name
+			started := r.system.fleet.Server(r.uploadService.Service, name).Record().Begun
+			for n := range uploadAttempts {
+				if started[fmt.Sprintf("%s.%d", upload, n+1)] > 0 {
 					return name, nil
 				}
 			}
 		}
-		if !pause(ctx, pollTime) {
+		if !sleep(ctx, pollInterval) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return "", eris.Errorf("the long upload reached no backend server; last refusal: %v", r.refused)
+			return "", eris.Errorf("long upload reached no backend server; last error: %v", r.lastRefusal)
 		}
 	}
 }
 
-// awaitIdle waits until nothing runs on the leaving server.
-func (r *run) awaitIdle(ctx context.Context, stand *backend.Server, begun time.Time) {
-	for stand.Load().Running > 0 {
-		if !pause(ctx, pollTime) {
+// awaitIdle waits until no request runs on the draining server and records the
+// duration of the drain.
+func (r *run) awaitIdle(ctx context.Context, standin *backend.Server, start time.Time) {
+	for standin.Load().Running > 0 {
+		if !sleep(ctx, pollInterval) {
 			return
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Drain.Done, r.report.Drain.Took = true, time.Since(begun).Seconds()
+	r.report.Drain.Done, r.report.Drain.Took = true, time.Since(start).Seconds()
 }
 
-// drained notes what began at the leaving server after its grace time.
-func (r *run) drained(t operator.Target, stand *backend.Server, before map[string]int) {
+// recordLateRequests records the requests that started on the draining server
+// after the grace period; before holds those that had started by then.
+func (r *run) recordLateRequests(t operator.Target, standin *backend.Server, before map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Drain.Service, r.report.Drain.Server = t.Service, t.Server
-	r.observed.LateLooked = true
-	for attempt, count := range stand.Record().Begun {
+	r.observed.LateChecked = true
+	for attempt, count := range standin.Record().Begun {
 		if count > before[attempt] {
-			r.observed.Late = append(r.observed.Late, attempt)
+			r.observed.LateRequests = append(r.observed.LateRequests, attempt)
 		}
 	}
 }
 
-// stop sends a long upload through an entry and stops that entry under it.
-func (r *run) stop(ctx context.Context) error {
-	m := r.leaver
+// shutDownEntry sends a long upload through an entry and shuts the entry down
+// gracefully during the upload.
+func (r *run) shutDownEntry(ctx context.Context) error {
+	m := r.shutdownTarget
 	type end struct {
-		whole bool
-		at    time.Time
+		complete bool
+		at       time.Time
 	}
 	ended := make(chan end, 1)
 	go func() {
-		whole, at := r.upload(ctx, "upload-stop", m)
-		ended <- end{whole, at}
+		complete, at := r.upload(ctx, "upload-stop", m)
+		ended <- end{complete, at}
 	}()
-	if !r.until(ctx, stopAt) {
+	if !r.waitUntil(ctx, shutdownAt) {
 		return ctx.Err()
 	}
-	r.progress("stopping %s, which carries a long upload", m.entry.Name)
-	begun := time.Now()
-	r.setStopping(true)
+	r.progress("shutting down %s, which carries a long upload", m.entry.Name)
+	start := time.Now()
+	r.setShuttingDown(true)
 	m.daemon.Leave()
-	refusing := r.awaitRefusal(ctx, m)
+	refusedSince := r.awaitRefusal(ctx, m)
 	e := <-ended
-	stopped := Stop{Instance: m.entry.Name}
+	stopped := Shutdown{Instance: m.entry.Name}
 	select {
 	case err := <-m.ended:
 		m.ended <- err
-		stopped.Clean, stopped.Took = err == nil, time.Since(begun).Seconds()
+		stopped.Clean, stopped.Took = err == nil, time.Since(start).Seconds()
 	case <-ctx.Done():
 	}
-	r.setStopping(false)
+	r.setShuttingDown(false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observed.Stopped = stopped
+	r.observed.Shutdown = stopped
 	r.observed.Uploads = append(r.observed.Uploads, LongUpload{
-		Through: "entry " + string(m.entry.Name), Bytes: uploadBytes, Whole: e.whole,
-		Outlasted: !refusing.IsZero() && e.at.After(refusing),
+		Via: "entry " + string(m.entry.Name), Bytes: uploadBytes, Complete: e.complete,
+		Outlasted: !refusedSince.IsZero() && e.at.After(refusedSince),
 	})
 	return nil
 }
 
-func (r *run) setStopping(on bool) {
+func (r *run) setShuttingDown(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopping = on
+	r.shuttingDown = on
 }
 
-// awaitRefusal returns when the entry takes no new requests any more.
-func (r *run) awaitRefusal(ctx context.Context, m *member) time.Time {
+// awaitRefusal waits until the entry rejects new requests and returns that time,
+// or the zero time if ctx ended before.
+func (r *run) awaitRefusal(ctx context.Context, m *runningEntry) time.Time {
 	for {
 		var t lookup.Ticket
-		err := r.callers.getJSON(ctx, "POST", "http://"+m.entry.Caller.String()+"/v1/ticket/"+string(r.uploads.Service), &t)
+		err := r.callers.getJSON(ctx, "POST", "http://"+m.entry.Caller.String()+"/v1/ticket/"+string(r.uploadService.Service), &t)
 		if err != nil && ctx.Err() == nil {
 			return time.Now()
 		}
-		if !pause(ctx, sampleTime) {
+		if !sleep(ctx, sampleInterval) {
 			return time.Time{}
 		}
 	}
--- a/internal/trial/system.go
+++ b/internal/trial/system.go
@@ -23,35 +23,35 @@
 )
 
 const (
-	token       = "trial"
-	startTime   = 10 * time.Second
-	idleConns   = 256
-	entryPorts  = 3
-	loopbackAny = "127.0.0.1:0"
+	token         = "trial"
+	startTimeout  = 10 * time.Second
+	idleConns     = 256
+	portsPerEntry = 3
+	loopbackAny   = "127.0.0.1:0"
 )
 
 type (
-	// system is the entries of a deployment with their stand-ins.
+	// system consists of the entries of a deployment and the stand-ins.
 	system struct {
 		fleet   *fleet.Fleet
 		ports   *ports.Block
 		network *wan.Network
 		log     *slog.Logger
-		entries []*member
+		entries []*runningEntry
 		client  *http.Client
 	}
 
-	// member is a running entry.
-	member struct {
+	// runningEntry is an entry that runs in this process.
+	runningEntry struct {
 		entry    *deployment.Entry
 		operator netip.AddrPort
 		daemon   *daemon.Daemon
-		ended    chan error
+		ended    chan error // result of Run; buffered, read and put back by each reader
 	}
 )
 
-// startSystem starts stand-ins and entries. It ends what it started if it
-// fails.
+// startSystem starts the stand-ins and the entries of the deployment in a folder.
+// If it fails, it closes those it has started.
 func startSystem(folder string, log *slog.Logger) (*system, error) {
 	f, err := fleet.Load(folder)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if err := s.fleet.Start(); err != nil {
 		return err
 	}
-	s.place()
+	s.placeAddresses()
 	s.client = &http.Client{Transport: s.transport(s.network.DialClient)}
 	for _, m := range s.entries {
 		if err := s.startEntry(m); err != nil {
@@ -82,25 +82,26 @@
 	return nil
 }
 
-// assignAddresses gives every entry free ports.
+// assignAddresses assigns free loopback ports to all entries.
 func (s *system) assignAddresses() error {
 	world := s.fleet.World
-	block, err := ports.Reserve(entryPorts * len(world.Entries))
+	block, err := ports.Reserve(portsPerEntry * len(world.Entries))
 	if err != nil {
 		return err
 	}
 	s.ports = block
 	for i := range world.Entries {
 		e := &world.Entries[i]
-		first := entryPorts * i
+		first := portsPerEntry * i
 		e.Caller, e.Peer = block.Address(first), block.Address(first+1)
-		s.entries = append(s.entries, &member{entry: e, operator: block.Address(first + 2)})
+		s.entries = append(s.entries, &runningEntry{entry: e, operator: block.Address(first + 2)})
 	}
 	return nil
 }
 
-// place tells the network where everything is.
-func (s *system) place() {
+// placeAddresses registers the addresses of the store, the entries and the backend
+// servers with their zones in the simulated network.
+func (s *system) placeAddresses() {
 	world := s.fleet.World
 	for _, r := range world.Regions {
 		if r.Name == world.StoreRegion {
@@ -118,7 +119,7 @@
 	}
 }
 
-func (s *system) startEntry(m *member) error {
+func (s *system) startEntry(m *runningEntry) error {
 	e := m.entry
 	region, _ := s.fleet.World.Region(e.Zone)
 	from := func(ctx context.Context, to netip.AddrPort) (net.Conn, error) { return s.network.Dial(ctx, e.Zone, to) }
@@ -143,9 +144,9 @@
 		return nil
 	case err := <-m.ended:
 		m.ended <- err
-		return eris.Wrap(err, "ended at once")
-	case <-time.After(startTime):
-		return eris.New("did not start in time")
+		return eris.Wrap(err, "entry terminated during start")
+	case <-time.After(startTimeout):
+		return eris.New("entry start timed out")
 	}
 }
 
@@ -156,11 +157,11 @@
 				return from(ctx, e.Peer)
 			}
 		}
-		return nil, eris.Errorf("there is no instance %s", to)
+		return nil, eris.Errorf("unknown instance %s", to)
 	}
 }
 
-// transport returns an HTTP transport over a dialer.
+// transport returns an HTTP transport that connects by the given dialer.
 func (s *system) transport(dial func(context.Context, netip.AddrPort) (net.Conn, error)) *http.Transport {
 	return &http.Transport{
 		DisableCompression:  true,
@@ -175,10 +176,12 @@
 	}
 }
 
-// operate returns the operators' client of an entry.
-func (m *member) operate() *operator.Client { return operator.NewClient(m.operator, token) }
+// operatorClient returns a client for the entry's operator listener.
+func (m *runningEntry) operatorClient() *operator.Client {
+	return operator.NewClient(m.operator, token)
+}
 
-// close ends the entries and the stand-ins.
+// close terminates the entries and closes the stand-ins.
 func (s *system) close() error {
 	for _, m := range s.entries {
 		if m.daemon != nil {
@@ -189,7 +192,7 @@
 		if m.ended == nil {
 			continue
 		}
-		// An entry that ended before has its result put back.
+		// For an entry that terminated earlier, its reader put the result back.
 		if err := <-m.ended; err != nil {
 			s.log.Debug("entry ended", "entry", m.entry.Name, "error", err)
 		}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -20,71 +20,72 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-// The trial's schedule, from the start of the load.
+// Schedule and parameters of a trial. Names that end in At are times since the
+// start of the load.
 const (
-	loadTime    = 15 * time.Second
-	uploadTime  = 17 * time.Second
-	stopAt      = 1 * time.Second
-	drainAt     = 2 * time.Second
-	publishAt   = 6 * time.Second
-	graceTime   = 3 * time.Second
-	limitTime   = 29 * time.Second
-	pollTime    = 20 * time.Millisecond
-	sampleTime  = 500 * time.Millisecond
-	streamSalt  = 0x7e57
-	uploadSends = 5
-	drainLonger = unit.Duration(time.Minute)
+	loadDuration   = 15 * time.Second
+	uploadDuration = 17 * time.Second
+	shutdownAt     = 1 * time.Second
+	drainAt        = 2 * time.Second
+	publishAt      = 6 * time.Second
+	gracePeriod    = 3 * time.Second
+	trialTimeout   = 29 * time.Second
+	pollInterval   = 20 * time.Millisecond
+	sampleInterval = 500 * time.Millisecond
+	rngStream      = 0x7e57 // PCG stream of the callers' choices
+	uploadAttempts = 5
+	addedDrainTime = unit.Duration(time.Minute)
 )
 
 type (
-	// Trial is one run.
+	// Trial is a trial of one deployment.
 	Trial struct {
-		// Folder holds the deployment.
+		// Folder is the folder of the deployment's files.
 		Folder string
-		// Seed fixes the times of the requests and the callers' choices.
+		// Seed determines the times of the requests and the callers' choices.
 		Seed uint64
-		// Log gets the entries' log lines; nil drops them.
+		// Log receives the entries' log lines; nil discards them.
 		Log *slog.Logger
-		// Progress gets a line for each step; nil for none.
+		// Progress is called with one line of text for each step; it may be nil.
 		Progress func(text string)
 	}
 
-	// run is the state of a trial under way.
+	// run is the state of a trial in progress.
 	run struct {
 		*Trial
-		system   *system
-		callers  *callers
-		attempts attempts
-		begun    time.Time // of the whole trial
-		start    time.Time // of the load
-		uploads  service.File
-		class    *service.Class // of the long uploads
-		leaver   *member
+		system         *system
+		callers        *callers
+		attempts       attempts
+		began          time.Time // start of the trial
+		loadStart      time.Time // start of the load
+		uploadService  service.File
+		uploadClass    *service.Class // class of the long uploads
+		shutdownTarget *runningEntry
 
-		mu       sync.Mutex
-		stopping bool
-		refused  error // the last refusal of a long upload
-		observed Observed
-		report   Report
+		mu           sync.Mutex
+		shuttingDown bool
+		lastRefusal  error // last error of a long upload
+		observed     Observed
+		report       Report
 	}
 )
 
-// Run runs the trial. The error says why it could not be run; broken promises
-// are in the report.
+// Run runs the trial, for at most 29 s. It returns an error if the trial could not
+// be completed; broken promises are in the report.
 func (t *Trial) Run(ctx context.Context) (*Report, error) {
-	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, limitTime)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	log := t.Log
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	t.progress("starting entries and stand-ins of %s", t.Folder)
+	t.progress("starting the entries and stand-ins of %s", t.Folder)
 	s, err := startSystem(t.Folder, log)
 	if err != nil {
 		return nil, err
 	}
-	r := &run{Trial: t, system: s, begun: begun}
+	r := &run{Trial: t, system: s, began: start}
 	err = r.run(ctx)
 	if closing := s.close(); err == nil && closing != nil {
 		err = closing
@@ -110,15 +111,15 @@
 	if err := r.publish(ctx, 0); err != nil {
 		return err
 	}
-	if !r.ready(ctx) {
-		return eris.Wrap(ctx.Err(), "wait for ready entries")
+	if !r.awaitReady(ctx) {
+		return eris.Wrap(ctx.Err(), "wait for entries to become ready")
 	}
-	r.start = time.Now()
-	r.callers.start = r.start
-	r.progress("load begins: look-ups, reads, once-only writes, uploads")
+	r.loadStart = time.Now()
+	r.callers.start = r.loadStart
+	r.progress("starting load: lookups, reads, at-most-once writes, uploads")
 	var all sync.WaitGroup
 	failed := make(chan error, 4)
-	for _, part := range []func(context.Context) error{r.drain, r.stop, r.republish, r.squeeze} {
+	for _, part := range []func(context.Context) error{r.drainServer, r.shutDownEntry, r.republish, r.overload} {
 		all.Go(func() {
 			if err := part(ctx); err != nil {
 				failed <- err
@@ -128,7 +129,7 @@
 	sampled, end := context.WithCancel(ctx)
 	defer end()
 	var sampler sync.WaitGroup
-	sampler.Go(func() { r.sample(sampled) })
+	sampler.Go(func() { r.sampleHeadroom(sampled) })
 	r.load(ctx)
 	all.Wait()
 	end()
@@ -141,26 +142,27 @@
 	}
 }
 
-// chooseUploads picks the service with an upload class, and the entry to stop.
+// chooseUploads picks the service with an upload class and the entry to shut
+// down.
 func (r *run) chooseUploads() error {
 	for _, f := range r.system.fleet.Files {
 		for i := range f.Classes {
 			if f.Classes[i].Kind == service.Upload {
-				r.uploads, r.class = *f, &f.Classes[i]
+				r.uploadService, r.uploadClass = *f, &f.Classes[i]
 			}
 		}
 	}
-	if r.class == nil {
+	if r.uploadClass == nil {
 		return eris.New("no service has an upload class")
 	}
-	r.leaver = r.system.entries[len(r.system.entries)-1]
+	r.shutdownTarget = r.system.entries[len(r.system.entries)-1]
 	return nil
 }
 
 func (r *run) prepareCallers() {
 	all := r.system.entries
 	r.callers = &callers{
-		http: r.system.client, attempts: &r.attempts, planned: r.planned, rng: rand.New(rand.NewPCG(r.Seed, streamSalt)),
+		http: r.system.client, attempts: &r.attempts, shuttingDown: r.isShuttingDown, rng: rand.New(rand.NewPCG(r.Seed, rngStream)),
 	}
 	transport := r.system.transport(r.system.network.DialClient)
 	for i, m := range all {
@@ -169,54 +171,56 @@
 			seeds = append(seeds, all[(i+j)%len(all)].entry.Caller)
 		}
 		r.callers.clients = append(r.callers.clients, &caller.Client{Entries: seeds, Transport: transport})
-		if m != r.leaver {
-			r.callers.first = append(r.callers.first, m.entry.Caller)
+		if m != r.shutdownTarget {
+			r.callers.lookupEntries = append(r.callers.lookupEntries, m.entry.Caller)
 		}
 	}
 }
 
-// planned tells whether a planned stop of the entry is going on.
-func (r *run) planned(entry id.Instance) bool {
+// isShuttingDown reports whether the entry is in graceful shutdown.
+func (r *run) isShuttingDown(entry id.Instance) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.stopping && entry == r.leaver.entry.Name
+	return r.shuttingDown && entry == r.shutdownTarget.entry.Name
 }
 
-// publish submits the service files, with longer drain times, and waits until
-// every entry that stays answers with the version.
-func (r *run) publish(ctx context.Context, longer unit.Duration) error {
+// publish submits the service files with their drain times extended, and waits
+// until all entries that aren't shutting down answer with the new version.
+func (r *run) publish(ctx context.Context, extra unit.Duration) error {
 	p := publish.Publisher{Store: &r.system.fleet.Store, Author: "trial"}
 	var submission publish.Submission
 	for _, f := range r.system.fleet.Files {
 		file := *f
-		file.DrainTime += longer
+		file.DrainTime += extra
 		submission.Files = append(submission.Files, file)
 	}
 	draft, refused := p.Prepare(ctx, submission)
 	if refused != nil {
 		return eris.Errorf("publish: %s", refused)
 	}
-	begun := time.Now()
+	start := time.Now()
 	if outcome := p.Submit(ctx, draft); outcome.Code != result.Accepted {
 		return eris.Errorf("publish: %s", outcome)
 	}
-	seen := Publication{Version: draft.Ticket.Version, Reached: r.everywhere(ctx, draft.Ticket.Version)}
-	seen.Everywhere = time.Since(begun).Seconds()
+	seen := Publication{Version: draft.Ticket.Version, Complete: r.awaitVersion(ctx, draft.Ticket.Version)}
+	seen.RolloutSeconds = time.Since(start).Seconds()
 	r.mu.Lock()
 	r.observed.Versions = append(r.observed.Versions, seen)
 	r.mu.Unlock()
-	r.progress("version %d in force everywhere after %.2f s", seen.Version, seen.Everywhere)
+	r.progress("version %d active at all entries after %.2f s", seen.Version, seen.RolloutSeconds)
 	return nil
 }
 
-func (r *run) everywhere(ctx context.Context, version id.Version) bool {
+// awaitVersion waits until all entries that aren't shutting down answer with the
+// version, and reports whether they did before ctx ended.
+func (r *run) awaitVersion(ctx context.Context, version id.Version) bool {
 	for _, m := range r.system.entries {
 		for {
-			a, err := r.callers.ask(ctx, m.entry.Caller, r.uploads.Service)
-			if err == nil && a.Version >= version || r.planned(m.entry.Name) {
+			a, err := r.callers.lookupAt(ctx, m.entry.Caller, r.uploadService.Service)
+			if err == nil && a.Version >= version || r.isShuttingDown(m.entry.Name) {
 				break
 			}
-			if !pause(ctx, pollTime) {
+			if !sleep(ctx, pollInterval) {
 				return false
 			}
 		}
@@ -224,15 +228,16 @@
 	return true
 }
 
-// ready waits until every entry is ready.
-func (r *run) ready(ctx context.Context) bool {
+// awaitReady waits until all entries are ready and reports whether they were
+// before ctx ended.
+func (r *run) awaitReady(ctx context.Context) bool {
 	for _, m := range r.system.entries {
 		for {
-			status, err := m.operate().Status(ctx)
+			status, err := m.operatorClient().Status(ctx)
 			if err == nil && status.Ready {
 				break
 			}
-			if !pause(ctx, pollTime) {
+			if !sleep(ctx, pollInterval) {
 				return false
 			}
 		}
@@ -241,49 +246,51 @@
 }
 
 func (r *run) republish(ctx context.Context) error {
-	if !r.until(ctx, publishAt) {
+	if !r.waitUntil(ctx, publishAt) {
 		return ctx.Err()
 	}
-	return r.publish(ctx, drainLonger)
+	return r.publish(ctx, addedDrainTime)
 }
 
-// until waits for a time of the schedule.
-func (r *run) until(ctx context.Context, at time.Duration) bool {
-	return pause(ctx, time.Until(r.start.Add(at)))
+// waitUntil waits for a point in time of the schedule and reports whether it came
+// before ctx ended.
+func (r *run) waitUntil(ctx context.Context, at time.Duration) bool {
+	return sleep(ctx, time.Until(r.loadStart.Add(at)))
 }
 
-// finish makes the report.
+// finish evaluates the observations and completes the report.
 func (r *run) finish() {
 	o := &r.observed
 	o.Attempts = r.attempts.all
-	o.Ran, o.Peaks = r.recorded()
-	o.Rises = rises(r.system.fleet, o.Attempts)
+	o.Executions, o.ServerPeaks = r.readRecords()
+	o.Rises = maxRises(r.system.fleet, o.Attempts)
 	r.report.Deployment, r.report.Seed = r.system.fleet.World.Name, r.Seed
-	r.report.Entries, r.report.Servers = len(r.system.entries), len(o.Peaks)
+	r.report.Entries, r.report.Servers = len(r.system.entries), len(o.ServerPeaks)
 	r.report.Links, r.report.Versions = o.Links, o.Versions
-	r.report.Uploads, r.report.Stopped = o.Uploads, o.Stopped
-	r.report.Promises = append(Judge(o), judgeServed(r.report.Latency))
-	r.report.Took = time.Since(r.begun).Seconds()
+	r.report.Uploads, r.report.Shutdown = o.Uploads, o.Shutdown
+	r.report.Promises = append(Evaluate(o), evaluateServed(r.report.Latency))
+	r.report.Took = time.Since(r.began).Seconds()
 }
 
-// slow is a body that is sent over a time.
-type slow struct {
-	ctx   context.Context
-	rest  int64
-	chunk int64
-	pause time.Duration
+// throttledBody is a request body of zeros that is sent in chunks at a fixed
+// interval.
+type throttledBody struct {
+	ctx       context.Context
+	remaining int64
+	chunk     int64
+	interval  time.Duration
 }
 
-// Read reads the next part once its time has come.
-func (s *slow) Read(p []byte) (int, error) {
-	if s.rest == 0 {
+// Read waits for the interval and reads the next chunk.
+func (s *throttledBody) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	if !pause(s.ctx, s.pause) {
+	if !sleep(s.ctx, s.interval) {
 		return 0, s.ctx.Err()
 	}
-	n := min(int64(len(p)), s.chunk, s.rest)
+	n := min(int64(len(p)), s.chunk, s.remaining)
 	clear(p[:n])
-	s.rest -= n
+	s.remaining -= n
 	return int(n), nil
 }
