--- a/cmd/shallotpier-soak/main.go
+++ b/cmd/shallotpier-soak/main.go
@@ -54,7 +54,7 @@
 			return err
 		}
 		fmt.Printf("seed %d: %d of %d requests served, %.3f after the last fault, %d promises broken\n",
-			r.Seed, r.Served, r.Requests, r.Settled, len(r.Violations))
+			r.Seed, r.Served, r.Requests, r.Recovered, len(r.Violations))
 		if len(r.Violations) > 0 {
 			broken++
 			show(r)
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,80 +18,81 @@
 )
 
 const (
-	deadline = 2 * time.Second
-	// pause is how long a caller waits between two requests.
-	pause = 15 * time.Millisecond
-	// lookupTime is how long a caller uses a directory's answer.
-	lookupTime = time.Second
-	objects    = 40
-	maxBody    = 40_000
+	requestDeadline = 2 * time.Second
+	// requestInterval is the pause of a caller between two requests.
+	requestInterval = 15 * time.Millisecond
+	// lookupTTL is the time for which a caller caches the answer of a directory.
+	lookupTTL   = time.Second
+	objectCount = 40
+	maxBodySize = 40_000
 )
 
 type (
-	// attempt is one request of a caller and what came of it.
+	// attempt is one request of a caller and its result.
 	attempt struct {
-		id       string
-		method   string
-		path     string
-		digest   string
-		version  int // that a probe asked for, 0 if it is none
-		entry    *process
-		start    int // how often the entry had been started
-		sent     time.Time
-		done     time.Time
-		status   int // 0 without a whole answer
-		body     string
-		sign     string
-		stopping bool // a planned stop of the entry was under way
+		id             string
+		method         string
+		path           string
+		digest         string
+		version        int // requested by a version probe; 0 for other requests
+		entry          *process
+		startCount     int // the entry's start count at the time of sending
+		sent           time.Time
+		done           time.Time
+		status         int // 0 without a complete answer
+		body           string
+		signature      string
+		duringShutdown bool // a graceful shutdown of the entry was in progress
 	}
 
-	// callers send requests and keep what came of them.
+	// callers sends requests and records the attempts.
 	callers struct {
 		mu       sync.Mutex
 		attempts []*attempt
 	}
 )
 
-// run sends requests until ctx ends.
+// run sends the requests of caller n until ctx ends.
 func (c *callers) run(ctx context.Context, s *soak, n int) {
 	rng := rand.New(rand.NewPCG(s.options.Seed, uint64(n)+1))
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: deadline}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: requestDeadline}
 	defer client.CloseIdleConnections()
 	var (
-		known []*process
-		until time.Time
+		entries []*process
+		expiry  time.Time
 	)
 	for i := 0; ctx.Err() == nil; i++ {
-		if time.Now().After(until) || len(known) == 0 {
-			known, until = s.lookup(client, n), time.Now().Add(lookupTime)
+		if time.Now().After(expiry) || len(entries) == 0 {
+			entries, expiry = s.lookup(client, n), time.Now().Add(lookupTTL)
 		}
-		if len(known) == 0 {
-			sleep(ctx, pause)
+		if len(entries) == 0 {
+			sleep(ctx, requestInterval)
 			continue
 		}
-		a := s.attempt(rng, fmt.Sprintf("c%d-%d", n, i))
-		a.entry = known[rng.IntN(len(known))]
+		a := s.newAttempt(rng, fmt.Sprintf("c%d-%d", n, i))
+		a.entry = entries[rng.IntN(len(entries))]
 		s.send(ctx, client, rng, a)
 		if ctx.Err() != nil && a.status == 0 {
-			return // the run's end cut it off
+			return // interrupted by the end of the run
 		}
 		c.mu.Lock()
 		c.attempts = append(c.attempts, a)
 		c.mu.Unlock()
 		if a.status == 0 {
-			until = time.Time{}
+			expiry = time.Time{}
 		}
-		sleep(ctx, pause)
+		sleep(ctx, requestInterval)
 	}
 }
 
-// lookup asks the entries' directories in turn.
+// lookup asks the directories of the entries in turn, beginning with entry n, and
+// returns the entries in the first answer.
 func (s *soak) lookup(client *http.Client, n int) []*process {
 	for k := range s.entries {
 		at := s.entries[(n+k)%len(s.entries)]
 		addresses, err := standin.Lookup(client, fmt.Sprintf("127.0.0.1:%d", at.ports[2]), host, zone(n), region(n))
 		if err != nil {
-			continue // another entry may answer
+			continue // try the next entry
 		}
 		var found []*process
 		for _, e := range s.entries {
@@ -106,9 +107,10 @@
 	return nil
 }
 
-// attempt draws a request.
-func (s *soak) attempt(rng *rand.Rand, name string) *attempt {
-	object := rng.IntN(objects)
+// newAttempt returns a random request: a read, a write, or a probe of the current
+// or the previous configuration version.
+func (s *soak) newAttempt(rng *rand.Rand, name string) *attempt {
+	object := rng.IntN(objectCount)
 	switch draw := rng.IntN(100); {
 	case draw < 50:
 		return &attempt{id: name, method: http.MethodGet, path: fmt.Sprintf("/read/%d?q=%%20%d", object, draw)}
@@ -123,10 +125,11 @@
 	}
 }
 
+// send sends the request with a random body and records the result in a.
 func (s *soak) send(ctx context.Context, client *http.Client, rng *rand.Rand, a *attempt) {
 	body := ""
 	if a.method == http.MethodPost {
-		body = strings.Repeat(a.id+" ", 1+rng.IntN(maxBody)/len(a.id))
+		body = strings.Repeat(a.id+" ", 1+rng.IntN(maxBodySize)/len(a.id))
 	}
 	sum := sha256.Sum256([]byte(body))
 	a.digest = hex.EncodeToString(sum[:])
@@ -137,16 +140,16 @@
 	h := platform.Headers()
 	r.Host = host
 	r.Header.Set(h.RequestID, a.id)
-	r.Header.Set(h.Deadline, strconv.FormatInt(deadline.Milliseconds(), 10))
+	r.Header.Set(h.Deadline, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
 	r.AddCookie(&http.Cookie{Name: h.Object, Value: a.path})
-	// The transport must not send a request again by itself.
+	// The transport must not retry requests by itself.
 	r.GetBody = nil
 	r.Header["Idempotency-Key"] = nil
-	a.start, a.sent = a.entry.starts(), time.Now()
+	a.startCount, a.sent = a.entry.currentStartCount(), time.Now()
 	resp, err := client.Do(r)
 	a.done = time.Now()
 	a.entry.mu.Lock()
-	a.stopping = !a.entry.stopping.IsZero() && a.entry.start == a.start
+	a.duringShutdown = !a.entry.stoppingSince.IsZero() && a.entry.startCount == a.startCount
 	a.entry.mu.Unlock()
 	if err != nil {
 		return
@@ -156,6 +159,6 @@
 	if err != nil {
 		return
 	}
-	a.status, a.body, a.sign = resp.StatusCode, string(data), resp.Header.Get(h.Signature)
+	a.status, a.body, a.signature = resp.StatusCode, string(data), resp.Header.Get(h.Signature)
 	a.done = time.Now()
 }
--- a/internal/soak/disturbance.go
+++ b/internal/soak/disturbance.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// disturbance keeps the spans of time in which something was disturbed. The zero
-// disturbance has none.
+// disturbance records the time spans in which faults disturbed an entry or the store.
+// The zero value has none.
 type disturbance struct {
 	mu    sync.Mutex
 	spans [][2]time.Time
 }
 
-// add notes a span from now until a time.
+// add records a span from now until the given time.
 func (d *disturbance) add(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.spans = append(d.spans, [2]time.Time{time.Now(), until})
 }
 
-// calm tells whether no span touches the time before a moment.
-func (d *disturbance) calm(at time.Time, before time.Duration) bool {
+// quiet reports whether no span overlaps the given duration before a time.
+func (d *disturbance) quiet(at time.Time, period time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.spans {
-		if s[0].Before(at) && s[1].After(at.Add(-before)) {
+		if s[0].Before(at) && s[1].After(at.Add(-period)) {
 			return false
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,37 +11,37 @@
 	"github.com/shallotpier/shallotpier/platform/standin"
 )
 
-// gapTime is the longest pause between the beginnings of two faults; some last
+// maxFaultGap is the longest time between the starts of two faults. Many faults last
 // longer, so that they overlap.
-const gapTime = 900 * time.Millisecond
+const maxFaultGap = 900 * time.Millisecond
 
-// fault is one kind of trouble. It returns when it is over.
-type fault func(ctx context.Context, s *soak, d draw)
+// fault injects one kind of fault and returns when it has ended.
+type fault func(ctx context.Context, s *soak, d faultParams)
 
-// draw is what was drawn for one fault.
-type draw struct {
-	entry  *process
-	server *backend
-	length time.Duration
-	part   float64
+// faultParams are the random parameters of one fault.
+type faultParams struct {
+	entry    *process
+	server   *backend
+	duration time.Duration
+	ratio    float64
 }
 
-// enabledShare is the part of the kinds that a run injects. Leaving some out lets
-// the others show what they would hide, as an outage of the store hides that a
-// leaving server still gets requests.
-const enabledShare = 0.35
+// enabledProbability is the probability with which a run includes each kind of fault.
+// Kinds are left out because one fault can hide the effects of another. For example,
+// an outage of the store hides that a draining server still gets requests.
+const enabledProbability = 0.35
 
-// kinds draws the faults of a run.
-func (s *soak) kinds() []fault {
+// chooseFaults selects the kinds of faults of a run at random.
+func (s *soak) chooseFaults() []fault {
 	all := []fault{
-		killEntry, stopEntry, pauseEntry, reloadEntry, silenceStore, cutStore, resetStore, failStore, compactStore,
-		crashServer, leaveServer, slowServer, loseAnswers, refuseRequests, silenceServer, delayServer, changeConfig,
+		killEntry, stopEntry, pauseEntry, reloadEntry, stallStore, stallStoreResponses, resetStoreConnections, failStore, compactStore,
+		crashServer, drainServer, slowServer, loseResponses, rejectRequests, stallServer, delayServer, changeConfig,
 		changeConfig, evacuateZone,
 	}
 	var enabled []fault
 	for len(enabled) == 0 {
 		for _, f := range all {
-			if s.rng.Float64() < enabledShare {
+			if s.rng.Float64() < enabledProbability {
 				enabled = append(enabled, f)
 			}
 		}
@@ -49,190 +49,196 @@
 	return enabled
 }
 
-// inject injects faults for the run's length and returns when all are over.
+// inject injects faults for Options.Length and returns when all have ended.
 func (s *soak) inject(ctx context.Context) {
-	all := s.kinds()
+	all := s.chooseFaults()
 	var wg sync.WaitGroup
 	for end := time.Now().Add(s.options.Length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := all[s.rng.IntN(len(all))]
-		d := draw{
+		d := faultParams{
 			entry: s.entries[s.rng.IntN(len(s.entries))], server: s.servers[s.rng.IntN(len(s.servers))],
-			length: time.Duration(0.3e9 + s.rng.Int64N(2.5e9)), part: 0.2 + 0.6*s.rng.Float64(),
+			duration: time.Duration(0.3e9 + s.rng.Int64N(2.5e9)), ratio: 0.2 + 0.6*s.rng.Float64(),
 		}
-		gap := time.Duration(s.rng.Int64N(int64(gapTime)))
+		gap := time.Duration(s.rng.Int64N(int64(maxFaultGap)))
 		wg.Go(func() { f(ctx, s, d) })
 		sleep(ctx, gap)
 	}
 	wg.Wait()
 }
 
-func killEntry(ctx context.Context, s *soak, d draw) {
-	s.note("%s killed for %v", d.entry.name, d.length)
-	d.entry.disturbed.add(time.Now().Add(d.length + startTime))
+func killEntry(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("%s killed for %v", d.entry.name, d.duration)
+	d.entry.disturbance.add(time.Now().Add(d.duration + startTimeout))
 	d.entry.kill()
-	sleep(ctx, d.length)
-	s.restart(d.entry)
+	sleep(ctx, d.duration)
+	s.relaunch(d.entry)
 }
 
-func stopEntry(_ context.Context, s *soak, d draw) {
-	s.note("%s stopped", d.entry.name)
+func stopEntry(_ context.Context, s *soak, d faultParams) {
+	s.logFault("%s shut down", d.entry.name)
 	d.entry.stop()
-	s.restart(d.entry)
+	s.relaunch(d.entry)
 }
 
-// restart starts an entry again, unless another fault did.
-func (s *soak) restart(e *process) {
-	e.restarting.Lock()
-	defer e.restarting.Unlock()
+// relaunch starts an entry again, unless another fault has done so.
+func (s *soak) relaunch(e *process) {
+	e.relaunchMu.Lock()
+	defer e.relaunchMu.Unlock()
 	if !e.hasExited() {
 		return
 	}
-	e.disturbed.add(time.Now().Add(time.Second))
-	if err := e.begin(); err != nil {
-		s.note("%s not started: %v", e.name, err)
+	e.disturbance.add(time.Now().Add(time.Second))
+	if err := e.launch(); err != nil {
+		s.logFault("%s not started: %v", e.name, err)
 	}
 }
 
-func pauseEntry(ctx context.Context, s *soak, d draw) {
-	s.note("%s paused for %v", d.entry.name, d.length)
-	d.entry.disturbed.add(time.Now().Add(d.length))
+func pauseEntry(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("%s paused for %v", d.entry.name, d.duration)
+	d.entry.disturbance.add(time.Now().Add(d.duration))
 	d.entry.signal(syscall.SIGSTOP)
-	sleep(ctx, d.length)
+	sleep(ctx, d.duration)
 	d.entry.signal(syscall.SIGCONT)
-	d.entry.disturbed.add(time.Now())
+	d.entry.disturbance.add(time.Now())
 }
 
-func reloadEntry(_ context.Context, s *soak, d draw) {
-	s.note("%s told to reload", d.entry.name)
+func reloadEntry(_ context.Context, s *soak, d faultParams) {
+	s.logFault("%s reloads its settings", d.entry.name)
 	d.entry.signal(syscall.SIGHUP)
 }
 
-func silenceStore(ctx context.Context, s *soak, d draw) { s.disturbPath(ctx, d, silent) }
+func stallStore(ctx context.Context, s *soak, d faultParams) { s.stallStorePath(ctx, d, stalled) }
 
-func cutStore(ctx context.Context, s *soak, d draw) { s.disturbPath(ctx, d, cutBack) }
+func stallStoreResponses(ctx context.Context, s *soak, d faultParams) {
+	s.stallStorePath(ctx, d, stalledResponses)
+}
 
-// disturbPath holds up the bytes between an entry and the store.
-func (s *soak) disturbPath(ctx context.Context, d draw, m mode) {
-	s.note("store held up (%d) for %s for %v", m, d.entry.name, d.length)
-	d.entry.disturbed.add(time.Now().Add(d.length))
-	d.entry.store.set(m, 0)
-	sleep(ctx, d.length)
-	d.entry.store.set(passes, 0)
-	d.entry.disturbed.add(time.Now())
+// stallStorePath sets the mode of the proxy between an entry and the store for the
+// duration of the fault.
+func (s *soak) stallStorePath(ctx context.Context, d faultParams, m mode) {
+	s.logFault("store path stalled (mode %d) for %s for %v", m, d.entry.name, d.duration)
+	d.entry.disturbance.add(time.Now().Add(d.duration))
+	d.entry.storeProxy.setMode(m, 0)
+	sleep(ctx, d.duration)
+	d.entry.storeProxy.setMode(forwarding, 0)
+	d.entry.disturbance.add(time.Now())
 }
 
-func resetStore(_ context.Context, s *soak, d draw) {
-	s.note("store connections of %s reset", d.entry.name)
-	d.entry.disturbed.add(time.Now())
-	d.entry.store.reset()
+func resetStoreConnections(_ context.Context, s *soak, d faultParams) {
+	s.logFault("store connections of %s reset", d.entry.name)
+	d.entry.disturbance.add(time.Now())
+	d.entry.storeProxy.reset()
 }
 
-func failStore(ctx context.Context, s *soak, d draw) {
+func failStore(ctx context.Context, s *soak, d faultParams) {
 	status := http.StatusServiceUnavailable
-	if d.part > 0.5 {
+	if d.ratio > 0.5 {
 		status = http.StatusTooManyRequests
 	}
-	s.note("store answers %d for %v", status, d.length)
-	s.storeDisturbed.add(time.Now().Add(d.length))
+	s.logFault("store answers %d for %v", status, d.duration)
+	s.storeDisturbance.add(time.Now().Add(d.duration))
 	s.store.Fail(status)
-	sleep(ctx, d.length)
+	sleep(ctx, d.duration)
 	s.store.Fail(0)
-	s.storeDisturbed.add(time.Now())
+	s.storeDisturbance.add(time.Now())
 }
 
-func compactStore(ctx context.Context, s *soak, d draw) {
-	s.note("store deaf for %v, then forgets", d.length/2)
-	s.storeDisturbed.add(time.Now().Add(d.length / 2))
+func compactStore(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("store stalls watches for %v, then discards its history", d.duration/2)
+	s.storeDisturbance.add(time.Now().Add(d.duration / 2))
 	s.store.Deafen()
-	sleep(ctx, d.length/2)
+	sleep(ctx, d.duration/2)
 	s.store.Compact()
-	s.storeDisturbed.add(time.Now())
+	s.storeDisturbance.add(time.Now())
 }
 
-func crashServer(ctx context.Context, s *soak, d draw) {
+func crashServer(ctx context.Context, s *soak, d faultParams) {
 	name := d.server.Name()
-	s.note("server %s crashes for %v", name, d.length)
+	s.logFault("server %s crashes for %v", name, d.duration)
 	d.server.Stop()
 	d.server.proxy.reset()
 	s.store.Remove(platform.KindServers, string(name))
-	sleep(ctx, d.length)
-	s.revive(d.server)
+	sleep(ctx, d.duration)
+	s.restartServer(d.server)
 }
 
-// leaveServer drains a server, and brings another up at its address.
-func leaveServer(ctx context.Context, s *soak, d draw) {
+// drainServer drains a server and starts another one at its address.
+func drainServer(ctx context.Context, s *soak, d faultParams) {
 	name := d.server.Name()
-	s.note("server %s leaves", name)
+	s.logFault("server %s drains", name)
 	d.server.Register("draining")
-	s.leaves(name)
-	sleep(ctx, leaveTime+d.length)
+	s.recordDraining(name)
+	sleep(ctx, drainDelay+d.duration)
 	if d.server.Name() != name {
-		return // it crashed meanwhile
+		return // it crashed in the meantime
 	}
 	s.store.Remove(platform.KindServers, string(name))
 	d.server.Stop()
-	s.revive(d.server)
+	s.restartServer(d.server)
 }
 
-// revive starts a server under a new name, unless another fault did.
-func (s *soak) revive(b *backend) {
-	if err := b.listen(s.name()); err != nil {
-		s.note("server not started: %v", err)
+// restartServer starts a server under a new name. If another fault has already
+// restarted it, the start fails because the address is in use.
+func (s *soak) restartServer(b *backend) {
+	if err := b.startBehindProxy(s.newServerName()); err != nil {
+		s.logFault("server not started: %v", err)
 	}
 }
 
-func slowServer(ctx context.Context, s *soak, d draw) {
-	s.breakServer(ctx, d, "is slow", standin.Faults{Slow: 10})
+func slowServer(ctx context.Context, s *soak, d faultParams) {
+	s.injectServerFault(ctx, d, "is slow", standin.Faults{Slow: 10})
 }
 
-func loseAnswers(ctx context.Context, s *soak, d draw) {
-	s.breakServer(ctx, d, "loses answers", standin.Faults{Lose: d.part})
+func loseResponses(ctx context.Context, s *soak, d faultParams) {
+	s.injectServerFault(ctx, d, "loses responses", standin.Faults{Lose: d.ratio})
 }
 
-func refuseRequests(ctx context.Context, s *soak, d draw) {
-	s.breakServer(ctx, d, "refuses", standin.Faults{Refuse: d.part})
+func rejectRequests(ctx context.Context, s *soak, d faultParams) {
+	s.injectServerFault(ctx, d, "refuses", standin.Faults{Refuse: d.ratio})
 }
 
-func (s *soak) breakServer(ctx context.Context, d draw, what string, f standin.Faults) {
-	s.note("server %s %s for %v", d.server.Name(), what, d.length)
-	f.Draw = s.draw
+// injectServerFault sets the faults of a server for the duration of d.
+func (s *soak) injectServerFault(ctx context.Context, d faultParams, what string, f standin.Faults) {
+	s.logFault("server %s %s for %v", d.server.Name(), what, d.duration)
+	f.Draw = s.random
 	d.server.Break(f)
-	sleep(ctx, d.length)
+	sleep(ctx, d.duration)
 	d.server.Break(standin.Faults{})
 }
 
-func silenceServer(ctx context.Context, s *soak, d draw) {
-	s.note("server %s is silent for %v", d.server.Name(), d.length)
-	d.server.proxy.set(silent, 0)
-	sleep(ctx, d.length)
-	d.server.proxy.set(passes, 0)
+func stallServer(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("server %s is stalled for %v", d.server.Name(), d.duration)
+	d.server.proxy.setMode(stalled, 0)
+	sleep(ctx, d.duration)
+	d.server.proxy.setMode(forwarding, 0)
 }
 
-func delayServer(ctx context.Context, s *soak, d draw) {
-	s.note("server %s is delayed for %v", d.server.Name(), d.length)
-	d.server.proxy.set(passes, 50*time.Millisecond)
-	sleep(ctx, d.length)
-	d.server.proxy.set(passes, 0)
+func delayServer(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("server %s is delayed for %v", d.server.Name(), d.duration)
+	d.server.proxy.setMode(forwarding, 50*time.Millisecond)
+	sleep(ctx, d.duration)
+	d.server.proxy.setMode(forwarding, 0)
 }
 
-func changeConfig(_ context.Context, s *soak, _ draw) {
-	s.configure()
+func changeConfig(_ context.Context, s *soak, _ faultParams) {
+	s.publishConfig()
 	s.mu.Lock()
 	v := s.version
 	s.mu.Unlock()
-	s.note("configuration %d", v)
+	s.logFault("configuration %d published", v)
 }
 
-func evacuateZone(ctx context.Context, s *soak, d draw) {
-	s.note("zone %s evacuated for %v", d.server.zone, d.length)
+func evacuateZone(ctx context.Context, s *soak, d faultParams) {
+	s.logFault("zone %s evacuated for %v", d.server.zone, d.duration)
 	s.store.Put(platform.KindEvacuations, string(d.server.zone), "{}")
-	sleep(ctx, d.length)
+	sleep(ctx, d.duration)
 	s.store.Remove(platform.KindEvacuations, string(d.server.zone))
 }
 
-// draw returns numbers for the servers' faults, which are asked for by many.
-func (s *soak) draw() float64 {
+// random returns a random number for the servers' faults. It is safe for concurrent
+// use.
+func (s *soak) random() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.chance.Float64()
+	return s.faultRNG.Float64()
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -19,64 +19,64 @@
 )
 
 const (
-	// graceTime is what the entries' settings say of a planned stop.
-	graceTime = 3 * time.Second
-	pollTime  = 500 * time.Millisecond
-	// Ports lie below those that systems give to outgoing connections, which
-	// would take them between two starts of an entry.
+	// gracePeriod is the grace period for graceful shutdown in the entries' settings.
+	gracePeriod      = 3 * time.Second
+	readinessTimeout = 500 * time.Millisecond
+	// Ports are below the range that systems use for outgoing connections, which
+	// could otherwise take a port between two starts of an entry.
 	firstPort = 23_000
 	lastPort  = 32_000
 	portTries = 100
 )
 
-// process is an entry, which may be started several times.
+// process is an entry that runs as a process and may be started several times.
 type process struct {
-	soak  *soak
-	name  string
-	zone  int
-	ports [5]int
-	store *proxy
-	path  string
-	// disturbed holds when faults struck the entry or its path to the store.
-	disturbed disturbance
-
-	// restarting is held from seeing that the process has ended to starting it
-	// again, so that faults that overlap do not start two.
-	restarting sync.Mutex
-
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	start    int       // how often it was started
-	stopping time.Time // when a planned stop began; zero while none is under way
+	soak         *soak
+	name         string
+	zone         int
+	ports        [5]int // for callers, readiness, directory, peers and metrics
+	storeProxy   *proxy
+	settingsPath string
+	// disturbance records the faults of the entry and of its path to the store.
+	disturbance disturbance
+
+	// relaunchMu is held from detecting that the process has exited until it is
+	// started again, so that overlapping faults don't start two processes.
+	relaunchMu sync.Mutex
+
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	startCount    int       // number of starts so far
+	stoppingSince time.Time // start of a graceful shutdown; zero if none is in progress
 }
 
 func newProcess(s *soak, i int) (*process, error) {
 	e := &process{soak: s, name: fmt.Sprintf("entry-%d", i), zone: i % 2}
 	p, err := newProxy(s.store.Address())
 	if err != nil {
-		return nil, eris.Wrap(err, "start a proxy")
+		return nil, eris.Wrap(err, "start store proxy")
 	}
-	e.store = p
-	e.path = filepath.Join(s.options.Folder, e.name+".toml")
-	return e, e.settle()
+	e.storeProxy = p
+	e.settingsPath = filepath.Join(s.options.Folder, e.name+".toml")
+	return e, e.prepare()
 }
 
-// settle finds free ports for the entry and writes its settings.
-func (e *process) settle() error {
+// prepare assigns free ports to the entry and writes its settings.
+func (e *process) prepare() error {
 	for k := range e.ports {
-		port, free, err := findPort()
+		port, free, err := reservePort()
 		if err != nil {
 			return err
 		}
 		defer free()
 		e.ports[k] = port
 	}
-	return eris.Wrap(os.WriteFile(e.path, []byte(e.settings()), 0o600), "write settings")
+	return eris.Wrap(os.WriteFile(e.settingsPath, []byte(e.settings()), 0o600), "write settings")
 }
 
-// findPort takes a port that is free for TCP and UDP, until free is called.
-func findPort() (port int, free func(), err error) {
+// reservePort reserves a port that is free for TCP and UDP until free is called.
+func reservePort() (port int, free func(), err error) {
 	for range portTries {
 		port = firstPort + rand.IntN(lastPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
@@ -91,10 +91,10 @@
 		}
 		return port, func() { _, _ = l.Close(), u.Close() }, nil
 	}
-	return 0, nil, eris.Errorf("no free port after %d tries", portTries)
+	return 0, nil, eris.Errorf("no free port found in %d attempts", portTries)
 }
 
-// hasExited tells whether the process has ended.
+// hasExited reports whether the process has exited.
 func (e *process) hasExited() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,60 +137,61 @@
 z-0 = "r-0"
 z-1 = "r-1"
 `, e.name, zone(e.zone), region(e.zone), e.ports[0], e.ports[1], e.ports[2], e.ports[3], e.ports[4],
-		e.store.address(), int(graceTime.Seconds()))
+		e.storeProxy.address(), int(gracePeriod.Seconds()))
 }
 
-// begin starts the process.
-func (e *process) begin() error {
+// launch starts the process, which appends its output to the entry's log file.
+func (e *process) launch() error {
 	log, err := os.OpenFile(filepath.Join(e.soak.options.Folder, e.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "open a log")
+		return eris.Wrap(err, "open log")
 	}
 	defer func() { _ = log.Close() }()
 	cmd := exec.Command(e.soak.options.Binary)
-	cmd.Env = []string{platform.SettingsVariable + "=" + e.path}
+	cmd.Env = []string{platform.SettingsVariable + "=" + e.settingsPath}
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		return eris.Wrap(err, "start an entry")
+		return eris.Wrap(err, "start entry")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	exited := make(chan struct{})
-	e.cmd, e.exited, e.stopping = cmd, exited, time.Time{}
-	e.start++
+	e.cmd, e.exited, e.stoppingSince = cmd, exited, time.Time{}
+	e.startCount++
 	go func() {
-		_ = cmd.Wait() // how it ended is seen from outside
+		_ = cmd.Wait() // the status is not needed, callers observe the effects
 		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process, by its id.
+// signal sends a signal to the process by its ID.
 func (e *process) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd != nil && e.cmd.Process != nil {
-		_ = e.cmd.Process.Signal(s) // it may have ended meanwhile
+		_ = e.cmd.Process.Signal(s) // fails if the process has exited
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (e *process) kill() {
 	e.signal(syscall.SIGKILL)
 	e.wait()
 }
 
-// stop asks the process to end, waits for it, and kills it after the grace.
+// stop requests a graceful shutdown, waits for the end of the process, and kills it
+// after the gracePeriod.
 func (e *process) stop() {
 	e.mu.Lock()
-	e.stopping = time.Now()
+	e.stoppingSince = time.Now()
 	exited := e.exited
 	e.mu.Unlock()
 	e.signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(graceTime):
-		e.soak.note("%s killed after its grace", e.name)
+	case <-time.After(gracePeriod):
+		e.soak.logFault("%s killed after the grace period", e.name)
 		e.kill()
 	}
 }
@@ -204,13 +205,13 @@
 	}
 }
 
-// starts returns how often the entry was started.
-func (e *process) starts() int {
+// currentStartCount returns the number of starts of the entry so far.
+func (e *process) currentStartCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.start
+	return e.startCount
 }
 
 func (e *process) isReady() bool {
-	return standin.Ready(&http.Client{Timeout: pollTime}, fmt.Sprintf("127.0.0.1:%d", e.ports[1]))
+	return standin.Ready(&http.Client{Timeout: readinessTimeout}, fmt.Sprintf("127.0.0.1:%d", e.ports[1]))
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// proxy passes TCP connections on over loopback, and may delay them, reset them,
-// cut one way, or go silent.
+// proxy forwards TCP connections over loopback. It can delay or reset them and stall
+// one or both directions.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	mode   mode
-	delay  time.Duration
-	open   map[net.Conn]bool
-	paused chan struct{} // closed when nothing is held up
+	mu       sync.Mutex
+	mode     mode
+	delay    time.Duration
+	open     map[net.Conn]bool
+	released chan struct{} // closed while nothing is stalled
 }
 
-// mode is what a proxy does to the bytes of its connections.
+// mode selects the directions in which a proxy forwards bytes.
 type mode int
 
 const (
-	passes mode = iota
-	// silent holds all bytes up, also those of new connections.
-	silent
-	// cutBack holds up the bytes from the target.
-	cutBack
+	forwarding mode = iota
+	// stalled stops both directions, also for new connections.
+	stalled
+	// stalledResponses stops the bytes from the target.
+	stalledResponses
 )
 
 func newProxy(target string) (*proxy, error) {
@@ -36,8 +36,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, target: target, open: make(map[net.Conn]bool), paused: make(chan struct{})}
-	close(p.paused)
+	p := &proxy{listener: l, target: target, open: make(map[net.Conn]bool), released: make(chan struct{})}
+	close(p.released)
 	go p.serve()
 	return p, nil
 }
@@ -46,24 +46,24 @@
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(passes, 0)
+	p.setMode(forwarding, 0)
 	p.reset()
 }
 
-// set changes what the proxy does.
-func (p *proxy) set(m mode, delay time.Duration) {
+// setMode sets the mode and the delay of each forwarded block.
+func (p *proxy) setMode(m mode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.mode != passes {
-		close(p.paused)
+	if p.mode != forwarding {
+		close(p.released)
 	}
 	p.mode, p.delay = m, delay
-	if m != passes {
-		p.paused = make(chan struct{})
+	if m != forwarding {
+		p.released = make(chan struct{})
 	}
 }
 
-// reset ends all open connections.
+// reset closes all open connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,12 +82,12 @@
 		if err != nil {
 			return
 		}
-		go p.pass(c)
+		go p.handle(c)
 	}
 }
 
-func (p *proxy) pass(c net.Conn) {
-	p.held(silent)
+func (p *proxy) handle(c net.Conn) {
+	p.waitUntilForwarding(stalled)
 	t, err := net.Dial("tcp", p.target)
 	if err != nil {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -99,16 +99,16 @@
 	p.mu.Lock()
 	p.open[c], p.open[t] = true, true
 	p.mu.Unlock()
-	go p.copy(t, c, silent)
-	p.copy(c, t, cutBack)
+	go p.forward(t, c, stalled)
+	p.forward(c, t, stalledResponses)
 }
 
-// copy passes bytes on in one direction, while no mode holds them up.
-func (p *proxy) copy(dst, src net.Conn, holds mode) {
+// forward copies bytes in one direction, unless the mode stalls it.
+func (p *proxy) forward(dst, src net.Conn, direction mode) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
-		p.held(holds)
+		p.waitUntilForwarding(direction)
 		if n > 0 {
 			if _, werr := dst.Write(buf[:n]); werr != nil {
 				break
@@ -132,16 +132,16 @@
 	delete(p.open, src)
 }
 
-// held waits while a mode holds up the bytes of a direction, and for the delay.
-func (p *proxy) held(direction mode) {
+// waitUntilForwarding waits while the mode stalls a direction, then for the delay.
+func (p *proxy) waitUntilForwarding(direction mode) {
 	for {
 		p.mu.Lock()
-		m, delay, paused := p.mode, p.delay, p.paused
+		m, delay, released := p.mode, p.delay, p.released
 		p.mu.Unlock()
-		if m == passes || m == cutBack && direction != cutBack {
+		if m == forwarding || m == stalledResponses && direction != stalledResponses {
 			time.Sleep(delay)
 			return
 		}
-		<-paused
+		<-released
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,14 +1,16 @@
 // Package soak runs real entries as separate processes against stand-ins of the
-// platform, injects faults from outside them, and checks what callers and backend
-// servers see.
+// platform, injects faults from outside, and checks the system's guarantees against
+// the records of callers and backend servers.
 //
-// Faults come in series, overlap and are drawn from a seed: entries are stopped,
-// killed, paused and restarted by signals; connections to the store and to servers
-// are delayed, reset, cut one way or silenced by proxies; the store fails, goes deaf
-// or forgets its history; servers crash, slow down, refuse, lose answers, leave, and
-// come back under other names; configurations change and zones are evacuated.
+// Faults follow each other at random intervals, determined by a seed, and may overlap:
+// signals shut down, kill, pause and reload entries; proxies delay, reset or stall, in
+// one or both directions, the connections to the store and to servers; the store
+// fails, stalls watches or discards its history; servers crash, slow down, reject
+// requests, lose responses, drain, and restart under other names; configurations
+// change and zones are evacuated.
 //
-// A run ends only processes that it started.
+// A run terminates only processes that it started. [Run] returns an error if the run
+// itself failed; violated guarantees are listed in the [Report].
 //
 // # Usage
 //
@@ -34,61 +36,64 @@
 )
 
 const (
-	serviceName = id.Service("registry")
-	host        = "soak.example"
-	slots       = 6
-	workTime    = 20 * time.Millisecond
-	// startTime is how long entries may take to become ready.
-	startTime = 10 * time.Second
-	// settleTime is how long after the last fault requests must be served
-	// again.
-	settleTime = 5 * time.Second
-	// leaveTime is how long after it said that it leaves a server may get
-	// requests of an entry that nothing disturbed.
-	leaveTime = 3 * time.Second
-	// touchTime is how long an entry must have been undisturbed for the checks
-	// with a bound.
-	touchTime = 5 * time.Second
-	// recovered is the part of requests that must be served after settleTime.
-	recovered = 0.95
+	serviceName    = id.Service("registry")
+	host           = "soak.example"
+	slots          = 6
+	processingTime = 20 * time.Millisecond
+	// startTimeout is the time within which entries must become ready.
+	startTimeout = 10 * time.Second
+	// recoveryTime is the time after the last fault within which the system must
+	// serve requests again.
+	recoveryTime = 5 * time.Second
+	// drainDelay is the time after the announcement of draining during which a
+	// server may still get requests from an entry that no fault disturbed.
+	drainDelay = 3 * time.Second
+	// quietPeriod is the time without a fault after which the guarantees with a
+	// time limit are checked for an entry.
+	quietPeriod = 5 * time.Second
+	// minRecovered is the minimum fraction of requests served after recoveryTime.
+	minRecovered = 0.95
 )
 
 type (
-	// Options say what a run does.
+	// Options are the parameters of a run.
 	Options struct {
-		// Binary is the entry's program.
+		// Binary is the path of the entry's executable.
 		Binary string
-		// Seed decides all that is random.
+		// Seed determines the faults and the requests.
 		Seed uint64
-		// Length is how long faults are injected; 0 is 15 s.
+		// Length is the time during which faults are injected; 0 for 15 s.
 		Length time.Duration
-		// Entries is how many entries run; 0 is 4.
+		// Entries is the number of entries; 0 for 4.
 		Entries int
-		// Servers is how many backend servers there are; 0 is 8.
+		// Servers is the number of backend servers; 0 for 8.
 		Servers int
-		// Callers is how many callers send at the same time; 0 is 16.
+		// Callers is the number of concurrent callers; 0 for 16.
 		Callers int
-		// Folder gets the entries' settings and logs; empty is a temporary one.
+		// Folder receives the entries' settings and logs; empty for a temporary
+		// folder.
 		Folder string
 	}
 
-	// Report tells what was seen.
+	// Report is the result of a run.
 	Report struct {
-		// Seed is the run's.
+		// Seed is the seed of the run.
 		Seed uint64
-		// Requests is how many were sent, Served how many of them were served.
+		// Requests is the number of requests sent, Served the number of those
+		// that were served.
 		Requests, Served int
-		// Settled is the part that was served after the last fault.
-		Settled float64
-		// Faults lists what was injected, in order.
+		// Recovered is the fraction of requests served after the last fault and
+		// the recovery time of 5 s, without version probes.
+		Recovered float64
+		// Faults lists the injected faults, in order.
 		Faults []string
-		// Violations lists the promises that were broken.
+		// Violations lists the violations of guarantees.
 		Violations []string
-		// Folder holds the entries' logs.
+		// Folder contains the entries' settings and logs.
 		Folder string
 	}
 
-	// soak is one run.
+	// soak is the state of one run.
 	soak struct {
 		options Options
 		rng     *rand.Rand
@@ -101,17 +106,17 @@
 
 		mu     sync.Mutex
 		faults []string
-		// storeDisturbed holds when faults struck the store.
-		storeDisturbed disturbance
-		left           map[id.Server]time.Time
-		version        int
-		// versions holds when each configuration was put in force.
-		versions map[int]time.Time
-		names    int
-		chance   *rand.Rand
+		// storeDisturbance records the faults of the store.
+		storeDisturbance disturbance
+		drainingSince    map[id.Server]time.Time
+		version          int
+		// versions holds the time of publication of each configuration.
+		versions    map[int]time.Time
+		serverNames int // number of names used
+		faultRNG    *rand.Rand
 	}
 
-	// backend is a server behind its proxy.
+	// backend is a backend server behind a proxy.
 	backend struct {
 		*standin.Server
 		proxy *proxy
@@ -119,22 +124,23 @@
 	}
 )
 
-// Run runs one seed. The error tells that the run itself failed.
+// Run runs one seed. It returns an error if the run itself failed; violations are in
+// the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
 	if o.Folder == "" {
 		folder, err := os.MkdirTemp("", "soak")
 		if err != nil {
-			return nil, eris.Wrap(err, "make a folder")
+			return nil, eris.Wrap(err, "create temporary folder")
 		}
 		o.Folder = folder
 	}
 	s := &soak{
 		options: o, rng: rand.New(rand.NewPCG(o.Seed, 0)), start: time.Now(), store: standin.NewStore(),
-		left: make(map[id.Server]time.Time), versions: make(map[int]time.Time), chance: rand.New(rand.NewPCG(o.Seed, 1)),
+		drainingSince: make(map[id.Server]time.Time), versions: make(map[int]time.Time), faultRNG: rand.New(rand.NewPCG(o.Seed, 1)),
 	}
-	defer s.end()
-	if err := s.begin(); err != nil {
+	defer s.tearDown()
+	if err := s.setUp(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -144,11 +150,11 @@
 		wg.Go(func() { s.callers.run(ctx, s, i) })
 	}
 	s.inject(ctx)
-	settled := time.Now().Add(settleTime)
-	sleep(ctx, settleTime+2*time.Second)
+	recoveryEnd := time.Now().Add(recoveryTime)
+	sleep(ctx, recoveryTime+2*time.Second)
 	cancel()
 	wg.Wait()
-	return s.report(settled), nil
+	return s.report(recoveryEnd), nil
 }
 
 func (o Options) withDefaults() Options {
@@ -167,15 +173,15 @@
 	return o
 }
 
-// begin starts the stand-ins and the entries.
-func (s *soak) begin() error {
-	s.configure()
+// setUp starts the stand-ins and the entries and waits until the entries are ready.
+func (s *soak) setUp() error {
+	s.publishConfig()
 	for i := range s.options.Servers {
 		b := &backend{zone: zone(i)}
 		b.Server = &standin.Server{
-			Store: s.store, Ledger: &s.ledger, Service: serviceName, Zone: b.zone, Slots: slots, Work: workTime,
+			Store: s.store, Ledger: &s.ledger, Service: serviceName, Zone: b.zone, Slots: slots, Work: processingTime,
 		}
-		if err := b.listen(s.name()); err != nil {
+		if err := b.startBehindProxy(s.newServerName()); err != nil {
 			return err
 		}
 		s.servers = append(s.servers, b)
@@ -186,48 +192,48 @@
 			return err
 		}
 		s.entries = append(s.entries, e)
-		if err := e.begin(); err != nil {
+		if err := e.launch(); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if s.ready() == len(s.entries) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if s.readyCount() == len(s.entries) {
 			return nil
 		}
-		if err := s.startAgain(); err != nil {
+		if err := s.relaunchExited(); err != nil {
 			return err
 		}
 	}
-	return eris.Errorf("%d of %d entries are ready after %v", s.ready(), len(s.entries), startTime)
+	return eris.Errorf("only %d of %d entries are ready after %v", s.readyCount(), len(s.entries), startTimeout)
 }
 
-// startAgain starts the entries that ended before any fault, at other ports:
-// another process took one of theirs.
-func (s *soak) startAgain() error {
+// relaunchExited starts entries that exited before any fault was injected, with other
+// ports, assuming that another process has taken one of their ports.
+func (s *soak) relaunchExited() error {
 	for _, e := range s.entries {
 		if !e.hasExited() {
 			continue
 		}
-		s.note("%s ended at its start", e.name)
-		if err := e.settle(); err != nil {
+		s.logFault("%s exited during start", e.name)
+		if err := e.prepare(); err != nil {
 			return err
 		}
-		if err := e.begin(); err != nil {
+		if err := e.launch(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// listen starts the server behind a proxy.
-func (b *backend) listen(name id.Server) error {
+// startBehindProxy starts the server and, the first time, its proxy.
+func (b *backend) startBehindProxy(name id.Server) error {
 	if err := b.Start(name); err != nil {
-		return eris.Wrap(err, "start a server")
+		return eris.Wrap(err, "start backend server")
 	}
 	if b.proxy == nil {
 		p, err := newProxy(b.Address())
 		if err != nil {
-			return eris.Wrap(err, "start a proxy")
+			return eris.Wrap(err, "start server proxy")
 		}
 		b.proxy = p
 		b.Public = p.address()
@@ -236,10 +242,10 @@
 	return nil
 }
 
-func (s *soak) end() {
+func (s *soak) tearDown() {
 	for _, e := range s.entries {
 		e.kill()
-		e.store.close()
+		e.storeProxy.close()
 	}
 	for _, b := range s.servers {
 		b.Stop()
@@ -249,7 +255,7 @@
 	s.store.Close()
 }
 
-func (s *soak) ready() int {
+func (s *soak) readyCount() int {
 	n := 0
 	for _, e := range s.entries {
 		if e.isReady() {
@@ -259,16 +265,17 @@
 	return n
 }
 
-// name returns a new name for a server.
-func (s *soak) name() id.Server {
+// newServerName returns an unused name for a backend server.
+func (s *soak) newServerName() id.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.names++
-	return id.Server(fmt.Sprintf("s-%d", s.names))
+	s.serverNames++
+	return id.Server(fmt.Sprintf("s-%d", s.serverNames))
 }
 
-// configure puts the next version in force. Each has a route of its own.
-func (s *soak) configure() {
+// publishConfig publishes the next configuration version. Each version has a route of
+// its own, by which version probes detect the active version.
+func (s *soak) publishConfig() {
 	s.mu.Lock()
 	s.version++
 	v := s.version
@@ -283,7 +290,8 @@
 	s.versions[v] = time.Now()
 }
 
-func (s *soak) note(format string, args ...any) {
+// logFault adds a line with the time since the start to the list of faults.
+func (s *soak) logFault(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf("%6.2f s  ", time.Since(s.start).Seconds())+fmt.Sprintf(format, args...))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,17 +10,17 @@
 	"github.com/shallotpier/shallotpier/internal/soak"
 )
 
-// ciLength is how long faults are injected in a run of the tests.
+// ciLength is the time during which a test run injects faults.
 const ciLength = 6 * time.Second
 
-// Seeds that failed once, with the cause.
+// failedSeeds returns the seeds that failed in the past, by cause.
 func failedSeeds() map[string]uint64 {
 	return map[string]uint64{}
 }
 
-var seed = flag.Uint64("seed", uint64(time.Now().UnixNano()), "seed of the run that is not a known one")
+var seed = flag.Uint64("seed", uint64(time.Now().UnixNano()), "seed of the run with a fresh seed")
 
-func TestSoak(t *testing.T) {
+func TestSoakViolatesNoGuarantee(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "shallotpier-entry")
 	build := exec.Command("go", "build", "-o", binary, "../../cmd/shallotpier-entry")
 	if out, err := build.CombinedOutput(); err != nil {
@@ -34,7 +34,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("seed %d: %d of %d requests served, %.3f after the last fault", seed, r.Served, r.Requests, r.Settled)
+			t.Logf("seed %d: %d of %d requests served, %.3f after the last fault", seed, r.Served, r.Requests, r.Recovered)
 			for _, v := range r.Violations {
 				t.Errorf("seed %d: %s", seed, v)
 			}
