--- a/cmd/shallotpier-soak/main.go
+++ b/cmd/shallotpier-soak/main.go
@@ -1,5 +1,5 @@
-// Command shallotpier-soak runs real entries under injected faults, seed by seed,
-// and exits with 1 if a promise was broken.
+// Command shallotpier-soak runs real entries under injected faults, one seed after
+// another, and exits with status 1 if a guarantee was violated or a run failed.
 package main
 
 import (
@@ -20,15 +20,15 @@
 	defer stop()
 	app := &urfave.Command{
 		Name:  "shallotpier-soak",
-		Usage: "run entries as processes under injected faults",
+		Usage: "run entries as processes, inject faults and check the guarantees",
 		Flags: []urfave.Flag{
-			&urfave.StringFlag{Name: "binary", Value: "target/shallotpier-entry", Usage: "`PATH` of the entry's program"},
-			&urfave.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0 draws one"},
-			&urfave.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds to run, one after the other"},
-			&urfave.DurationFlag{Name: "length", Value: 15 * time.Second, Usage: "how long faults are injected for each seed"},
-			&urfave.IntFlag{Name: "entries", Value: 4, Usage: "how many entries run"},
-			&urfave.IntFlag{Name: "servers", Value: 8, Usage: "how many backend servers there are"},
-			&urfave.IntFlag{Name: "callers", Value: 16, Usage: "how many callers send at the same time"},
+			&urfave.StringFlag{Name: "binary", Value: "target/shallotpier-entry", Usage: "`PATH` of the entry's executable"},
+			&urfave.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0 for a random one"},
+			&urfave.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds to run"},
+			&urfave.DurationFlag{Name: "length", Value: 15 * time.Second, Usage: "time during which faults are injected, for each seed"},
+			&urfave.IntFlag{Name: "entries", Value: 4, Usage: "number of entries"},
+			&urfave.IntFlag{Name: "servers", Value: 8, Usage: "number of backend servers"},
+			&urfave.IntFlag{Name: "callers", Value: 16, Usage: "number of concurrent callers"},
 		},
 		Action: run,
 	}
@@ -44,7 +44,7 @@
 	if first == 0 {
 		first = rand.Uint64N(1 << 32)
 	}
-	broken := 0
+	violated := 0
 	for i := range cmd.Int("seeds") {
 		r, err := soak.Run(ctx, soak.Options{
 			Binary: cmd.String("binary"), Seed: first + uint64(i), Length: cmd.Duration("length"),
@@ -53,20 +53,20 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("seed %d: %d of %d requests served, %.3f after the last fault, %d promises broken\n",
+		fmt.Printf("seed %d: %d of %d requests served, %.3f after the last fault, %d violations\n",
 			r.Seed, r.Served, r.Requests, r.Recovered, len(r.Violations))
 		if len(r.Violations) > 0 {
-			broken++
-			show(r)
+			violated++
+			printDetails(r)
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", broken, cmd.Int("seeds"))
+	if violated > 0 {
+		return fmt.Errorf("%d of %d seeds violated a guarantee", violated, cmd.Int("seeds"))
 	}
 	return nil
 }
 
-func show(r *soak.Report) {
+func printDetails(r *soak.Report) {
 	for _, v := range r.Violations {
 		fmt.Println("  BROKEN", v)
 	}
