--- a/internal/beliefs/beliefs.go
+++ b/internal/beliefs/beliefs.go
@@ -2,7 +2,7 @@
 // operators: the active configuration, the staleness of its store data, the other
 // entries, and the backend servers.
 //
-// An entry serves its [Beliefs] as JSON at the address of its metrics.
+// An entry serves its [View] as JSON at the address of its metrics.
 // [Differences] lists where the states of several entries differ, which helps to
 // find out why they treat the same request differently.
 //
@@ -38,8 +38,8 @@
 )
 
 type (
-	// Beliefs is a snapshot of an entry's local state.
-	Beliefs struct {
+	// View is a snapshot of an entry's local state.
+	View struct {
 		// Instance is the entry's name.
 		Instance id.Instance `json:"instance"`
 		// Incarnation identifies its process.
@@ -53,7 +53,7 @@
 		// Running is the number of requests in progress.
 		Running int `json:"running"`
 		// Store is the state of each kind of store objects, sorted by name.
-		Store []Kind `json:"store"`
+		Store []StoreState `json:"store"`
 		// Entries are the other entries that it regards as alive, sorted by name.
 		Entries []id.Instance `json:"entries"`
 		// Known is the number of other known entries, alive or not.
@@ -67,8 +67,8 @@
 		Servers []Server `json:"servers"`
 	}
 
-	// Kind is the state of one kind of store objects.
-	Kind struct {
+	// StoreState is the state of one kind of store objects.
+	StoreState struct {
 		// Name is the kind's name.
 		Name string `json:"name"`
 		// Change is the version of the newest applied change.
@@ -141,8 +141,8 @@
 const ageMargin = 13 * time.Second
 
 // Fetch requests the state of the entry with the given metrics address.
-func Fetch(ctx context.Context, client *http.Client, address string) (*Beliefs, error) {
-	var b Beliefs
+func Fetch(ctx context.Context, client *http.Client, address string) (*View, error) {
+	var b View
 	return &b, get(ctx, client, "http://"+address+Path, &b)
 }
 
@@ -171,7 +171,7 @@
 
 // Differences compares each state with the first one and returns a line for each
 // difference.
-func Differences(all []*Beliefs) []string {
+func Differences(all []*View) []string {
 	var out []string
 	for _, b := range all {
 		first := all[0]
@@ -188,7 +188,7 @@
 			report("%d and %d other entries known", first.Known, b.Known)
 		}
 		for _, k := range b.Store {
-			if i := slices.IndexFunc(first.Store, func(f Kind) bool { return f.Name == k.Name }); i >= 0 {
+			if i := slices.IndexFunc(first.Store, func(f StoreState) bool { return f.Name == k.Name }); i >= 0 {
 				if f := first.Store[i]; f.Change != k.Change {
 					report("%s up to change %d and %d", k.Name, f.Change, k.Change)
 				} else if (f.Age - k.Age).Abs() > ageMargin {
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -26,9 +26,9 @@
 	// platformStatus is the state of several entries and the differences between
 	// them.
 	platformStatus struct {
-		Entries     []*beliefs.Beliefs `json:"entries"`
-		Unreachable []string           `json:"unreachable,omitempty"`
-		Differences []string           `json:"differences"`
+		Entries     []*beliefs.View `json:"entries"`
+		Unreachable []string        `json:"unreachable,omitempty"`
+		Differences []string        `json:"differences"`
 	}
 
 	platformExplanation beliefs.Explanation
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -15,9 +15,9 @@
 )
 
 // State returns a snapshot of the entry's local state for operators.
-func (n *Node) State(now time.Time) *beliefs.Beliefs {
+func (n *Node) State(now time.Time) *beliefs.View {
 	self := n.Self()
-	b := &beliefs.Beliefs{
+	b := &beliefs.View{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
 		Running: n.handler.Running(), Known: len(n.Beacon.Known()), EvacuatedZones: n.Roster.Evacuated(),
 		Quarantined: len(n.Quarantine.Entries(now)),
@@ -26,9 +26,9 @@
 		b.Version = c.Version
 	}
 	for kind, version := range self.Changes {
-		b.Store = append(b.Store, beliefs.Kind{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
+		b.Store = append(b.Store, beliefs.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
 	}
-	slices.SortFunc(b.Store, func(x, y beliefs.Kind) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(b.Store, func(x, y beliefs.StoreState) int { return strings.Compare(x.Name, y.Name) })
 	for _, other := range n.Beacon.Alive(now) {
 		b.Entries = append(b.Entries, other.Instance)
 	}
