--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,8 +23,8 @@
 		Caller netip.Addr
 		// Deadline is the time by which the request must be complete.
 		Deadline time.Time
-		// Body is the declared size of the body, -1 if none is declared.
-		Body unit.Bytes
+		// BodySize is the declared size of the body, -1 if none is declared.
+		BodySize unit.Bytes
 		// Tried lists the servers that earlier attempts were sent to.
 		Tried []id.Server
 	}
@@ -52,10 +52,10 @@
 		// Latency is the time to the first byte of the response, 0 if there
 		// was none.
 		Latency time.Duration
-		// Running is the latest time until which the backend server may still
+		// RunningUntil is the latest time until which the backend server may still
 		// run the request; the zero time if it no longer does. The slot stays
 		// in use until then.
-		Running time.Time
+		RunningUntil time.Time
 	}
 
 	// Admitter grants permits. It is safe for concurrent use.
--- a/internal/admission/local/admitter_test.go
+++ b/internal/admission/local/admitter_test.go
@@ -131,7 +131,7 @@
 		a := admitter(f, 1, 0, 10)
 		p, err := a.Admit(t.Context(), request(f, time.Minute))
 		is.NoErr(err)
-		p.Release(admission.Outcome{Code: result.AnswerLate, Running: time.Now().Add(5 * time.Second)})
+		p.Release(admission.Outcome{Code: result.AnswerLate, RunningUntil: time.Now().Add(5 * time.Second)})
 		begin := time.Now()
 		_, err = a.Admit(t.Context(), request(f, time.Minute))
 		is.NoErr(err)
--- a/internal/admission/pool/queue.go
+++ b/internal/admission/pool/queue.go
@@ -124,8 +124,8 @@
 	if !p.released.CompareAndSwap(false, true) {
 		return
 	}
-	if !out.Running.IsZero() {
-		if wait := time.Until(out.Running); wait > 0 {
+	if !out.RunningUntil.IsZero() {
+		if wait := time.Until(out.RunningUntil); wait > 0 {
 			time.AfterFunc(wait, p.free)
 			return
 		}
--- a/internal/admission/steered/admitter.go
+++ b/internal/admission/steered/admitter.go
@@ -111,7 +111,7 @@
 // requests are charged as small ones, with a nil body. A body without a declared
 // size counts as the largest that its class allows.
 func chargeLink(now time.Time, req *admission.Request, budget *link.Budget) (*link.Body, *admission.RefusedError) {
-	size := req.Body
+	size := req.BodySize
 	if size < 0 {
 		size = req.Class.BodyLimit
 	}
--- a/internal/admission/steered/admitter_test.go
+++ b/internal/admission/steered/admitter_test.go
@@ -86,7 +86,7 @@
 				},
 				Link: func(id.Region) *link.Budget { return budget },
 			}
-			req := &admission.Request{Service: file, Class: tt.class, Body: tt.body, Deadline: time.Now().Add(time.Minute)}
+			req := &admission.Request{Service: file, Class: tt.class, BodySize: tt.body, Deadline: time.Now().Add(time.Minute)}
 			p, err := a.Admit(context.Background(), req)
 			is.Equal(inner.released, tt.released) // refusals keep no slot
 			is.Equal(len(req.Tried), 0)           // the request passed in is unchanged
@@ -116,7 +116,7 @@
 		Link:   func(id.Region) *link.Budget { return budget },
 	}
 	file := &service.File{Service: "vault", Servers: []service.Server{{Name: "far", Zone: "b1"}}}
-	req := &admission.Request{Service: file, Class: &service.Class{Kind: service.Upload}, Body: 40 * unit.MiB, Deadline: time.Now().Add(time.Minute)}
+	req := &admission.Request{Service: file, Class: &service.Class{Kind: service.Upload}, BodySize: 40 * unit.MiB, Deadline: time.Now().Add(time.Minute)}
 	first, err := a.Admit(context.Background(), req)
 	is.NoErr(err)
 	_, err = a.Admit(context.Background(), req)
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -210,7 +210,7 @@
 
 func (c *call) admissionRequest(tried []id.Server) *admission.Request {
 	return &admission.Request{
-		Service: c.file, Class: c.class, Caller: c.caller, Deadline: c.deadline, Body: unit.Bytes(c.r.ContentLength), Tried: tried,
+		Service: c.file, Class: c.class, Caller: c.caller, Deadline: c.deadline, BodySize: unit.Bytes(c.r.ContentLength), Tried: tried,
 	}
 }
 
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -166,7 +166,7 @@
 		if !res.pendingClose.Wait() {
 			// The server may not have received the half-close, and may run the
 			// request until its deadline.
-			out.Running = latest(deadline, time.Now().Add(cancelDelay))
+			out.RunningUntil = latest(deadline, time.Now().Add(cancelDelay))
 		}
 		s.permit.Release(out)
 	}()
--- a/internal/entry/fault_test.go
+++ b/internal/entry/fault_test.go
@@ -60,7 +60,7 @@
 	is.NoErr(c.entries[0].Wait(t.Context()))
 	stillRunning := 0
 	for _, out := range c.outcomes {
-		if !out.Running.IsZero() {
+		if !out.RunningUntil.IsZero() {
 			stillRunning++
 		}
 	}
--- a/internal/entry/setup_test.go
+++ b/internal/entry/setup_test.go
@@ -95,7 +95,7 @@
 	}
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
-	if running > 0 && out.Running.IsZero() {
+	if running > 0 && out.RunningUntil.IsZero() {
 		p.c.early++
 	}
 	p.c.outcomes = append(p.c.outcomes, out)
