--- a/internal/notices/exchange.go
+++ b/internal/notices/exchange.go
@@ -92,7 +92,7 @@
 	}
 	x.unsaved[k] = n
 	x.mu.Unlock()
-	missed := peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodPost, func(forwardTo []id.Instance) any {
+	missed := peer.Broadcast(ctx, x.Peers, callTimeout, x.Others(), MethodPost, func(forwardTo []id.Instance) any {
 		return message{Notices: []Notice{n}, ForwardTo: forwardTo}
 	})
 	x.save(ctx)
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	if len(m.ForwardTo) > 0 {
-		peer.Tell(ctx, x.Peers, callTimeout, m.ForwardTo, MethodPost, message{Notices: m.Notices})
+		peer.SendAll(ctx, x.Peers, callTimeout, m.ForwardTo, MethodPost, message{Notices: m.Notices})
 	}
 	return message{}, nil
 }
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -12,21 +12,21 @@
 // sender could not reach.
 const relays = 2
 
-// Spread sends an update to all others in parallel, and then through up to two
+// Broadcast sends an update to all others in parallel, and then through up to two
 // of those that confirmed it to those that did not. message returns the update,
 // with the entries to which its receiver is to forward it. Each of the two steps
 // takes at most limit. Spread returns the entries that did not confirm directly.
-func Spread(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, message func(tell []id.Instance) any) []id.Instance {
-	told, missed := Tell(ctx, c, limit, others, method, message(nil))
+func Broadcast(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, message func(tell []id.Instance) any) []id.Instance {
+	told, missed := SendAll(ctx, c, limit, others, method, message(nil))
 	if len(missed) > 0 {
-		Tell(ctx, c, limit, told[:min(len(told), relays)], method, message(missed))
+		SendAll(ctx, c, limit, told[:min(len(told), relays)], method, message(missed))
 	}
 	return missed
 }
 
-// Tell sends params to all others in parallel, for at most limit, and returns
+// SendAll sends params to all others in parallel, for at most limit, and returns
 // the entries that confirmed them and those that did not.
-func Tell(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, params any) (told, missed []id.Instance) {
+func SendAll(ctx context.Context, c Caller, limit time.Duration, others []id.Instance, method string, params any) (told, missed []id.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	failed := make([]bool, len(others))
--- a/internal/sightings/exchange.go
+++ b/internal/sightings/exchange.go
@@ -66,7 +66,7 @@
 // Spread sends a report to all other entries. It returns once each of them has
 // confirmed it or could not be reached, or when ctx ends.
 func (x *Exchange) Spread(ctx context.Context, report quarantine.Sighting) {
-	peer.Spread(ctx, x.Peers, callTimeout, x.Others(), MethodReport, func(forwardTo []id.Instance) any {
+	peer.Broadcast(ctx, x.Peers, callTimeout, x.Others(), MethodReport, func(forwardTo []id.Instance) any {
 		return message{Reports: []quarantine.Sighting{report}, ForwardTo: forwardTo}
 	})
 }
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	x.apply(m.Reports)
-	peer.Tell(ctx, x.Peers, callTimeout, m.ForwardTo, MethodReport, message{Reports: m.Reports})
+	peer.SendAll(ctx, x.Peers, callTimeout, m.ForwardTo, MethodReport, message{Reports: m.Reports})
 	return message{}, nil
 }
 
