--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -147,7 +147,7 @@
 		return relayCounts{}, err
 	}
 	for _, k := range keepers[1:] {
-		k.Heard(entryName(0), keepers[0].Current().Ref())
+		k.Observe(entryName(0), keepers[0].Current().Ref())
 	}
 	if err := waitForVersion(ctx, keepers, 2); err != nil {
 		return relayCounts{}, err
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	for _, k := range keepers {
-		if !k.AtLeast(ctx, v) {
+		if !k.WaitFor(ctx, v) {
 			return eris.Errorf("version %d not active within %s", v, versionTimeout)
 		}
 	}
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -10,7 +10,7 @@
 // version and all of these have answered or failed. So a starting entry serves no
 // request before it has a version, and is not behind the peers that it can reach.
 // It needs the store only for a version that no peer has. For a caller that has
-// seen a higher version at another entry, [Keeper.AtLeast] waits for that version.
+// seen a higher version at another entry, [Keeper.WaitFor] waits for that version.
 //
 // # Usage
 //
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -118,9 +118,9 @@
 	k.notify = append(k.notify, f)
 }
 
-// AtLeast waits until the active version is at least v; it returns false if ctx
+// WaitFor waits until the active version is at least v; it returns false if ctx
 // ends first. It is used for a caller that has seen v at another entry.
-func (k *Keeper) AtLeast(ctx context.Context, v id.Version) bool {
+func (k *Keeper) WaitFor(ctx context.Context, v id.Version) bool {
 	for {
 		k.mu.Lock()
 		if k.changed == nil {
@@ -139,9 +139,9 @@
 	}
 }
 
-// Heard receives the version that a peer reports to hold; the id may be absent. It
+// Observe receives the version that a peer reports to hold; the id may be absent. It
 // does not block; Run fetches a newer version from the peer.
-func (k *Keeper) Heard(from id.Instance, ref Ref) {
+func (k *Keeper) Observe(from id.Instance, ref Ref) {
 	if Compare(k.Current().Ref(), ref) != Newer {
 		return
 	}
--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -70,7 +70,7 @@
 		if err := decode(params, &ref); err != nil {
 			return nil, err
 		}
-		n.Heard(from.Instance, ref)
+		n.Observe(from.Instance, ref)
 		return nil, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -300,10 +300,10 @@
 		n := w.nodes["entry-0"]
 		ctx, cancel := context.WithTimeout(w.t.Context(), 3*time.Second)
 		defer cancel()
-		is.True(n.AtLeast(ctx, 1))
+		is.True(n.WaitFor(ctx, 1))
 		go func() { time.Sleep(time.Second); w.publish(2) }()
-		is.True(n.AtLeast(ctx, 2))
-		is.True(!n.AtLeast(ctx, 3))
+		is.True(n.WaitFor(ctx, 2))
+		is.True(!n.WaitFor(ctx, 3))
 	})
 }
 
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -59,7 +59,7 @@
 // observeHeartbeat records the configuration version and the slots in use that
 // a heartbeat reports.
 func (d *Daemon) observeHeartbeat(b *membership.Beat) {
-	d.config.Heard(b.Instance, b.Config)
+	d.config.Observe(b.Instance, b.Config)
 	d.loads.Take(b.Instance, time.Now(), b.Uses)
 }
 
