--- a/internal/entry/lookup.go
+++ b/internal/entry/lookup.go
@@ -38,7 +38,7 @@
 		return
 	}
 	t := lookup.Ticket{
-		Ticket: c.h.Once.Mint(c.h.age(), c.file.Service), Entry: c.h.Instance,
+		Ticket: c.h.Once.Issue(c.h.age(), c.file.Service), Entry: c.h.Instance,
 		ValidSeconds: int(c.h.Once.Lifetime() / time.Second),
 	}
 	c.code, c.status = result.Served, http.StatusOK
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -60,7 +60,7 @@
 		case once.Ended:
 			c.replay(use.Code, use.Answer)
 			return
-		case once.Elsewhere:
+		case once.OtherInstance:
 			c.forwardToIssuer(use.Instance)
 			return
 		case once.Running:
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -15,7 +15,7 @@
 	answer := &once.Answer{Status: 200, Body: make([]byte, 512)}
 	b.ReportAllocs()
 	for b.Loop() {
-		ticket := r.Mint(0, "registry")
+		ticket := r.Issue(0, "registry")
 		r.End(r.Begin(0, "registry", ticket, once.Binding{1}), result.Served, answer)
 	}
 }
--- a/internal/once/histories_test.go
+++ b/internal/once/histories_test.go
@@ -104,7 +104,7 @@
 		switch h.rng.IntN(12) {
 		case 0, 1:
 			if !n.paused && len(h.tickets) < 3 {
-				h.tickets = append(h.tickets, &ticket{text: n.reg.Mint(n.age, "registry")})
+				h.tickets = append(h.tickets, &ticket{text: n.reg.Issue(n.age, "registry")})
 			}
 		case 2, 3, 4, 5, 6:
 			if len(h.tickets) > 0 {
@@ -142,7 +142,7 @@
 			h.problem = "executed twice"
 		}
 		n.open = append(n.open, open{k, use})
-	case once.Elsewhere:
+	case once.OtherInstance:
 		for _, to := range h.nodes {
 			if forward && to.name == use.Instance {
 				h.send(to, k, false)
--- a/internal/once/registry.go
+++ b/internal/once/registry.go
@@ -21,9 +21,9 @@
 	// Ended means that the request was executed; Use.Code and Use.Answer are
 	// its outcome.
 	Ended
-	// Elsewhere means that the request has to be forwarded to another instance,
+	// OtherInstance means that the request has to be forwarded to another instance,
 	// Use.Instance.
-	Elsewhere
+	OtherInstance
 )
 
 const (
@@ -114,8 +114,8 @@
 	}
 )
 
-// Mint issues a new ticket for the service.
-func (r *Registry) Mint(age time.Duration, service id.Service) string {
+// Issue issues a new ticket for the service.
+func (r *Registry) Issue(age time.Duration, service id.Service) string {
 	r.mu.Lock()
 	r.last++
 	n := r.last
@@ -136,7 +136,7 @@
 	}
 	switch {
 	case t.Instance != r.Instance:
-		return Use{State: Elsewhere, Instance: t.Instance, Code: result.TicketElsewhere}
+		return Use{State: OtherInstance, Instance: t.Instance, Code: result.TicketElsewhere}
 	case t.Incarnation != r.Incarnation:
 		return Use{Code: result.TicketElsewhere}
 	case !t.authentic(r.Key):
--- a/internal/once/registry_test.go
+++ b/internal/once/registry_test.go
@@ -41,7 +41,7 @@
 		"unused and expired":   {age: time.Minute, bind: a, code: result.TicketInvalid},
 		"past its retention":   {age: time.Minute + time.Hour, bind: a, code: result.TicketForgotten},
 		"another key":          {by: other, bind: a, code: result.TicketInvalid},
-		"another instance":     {by: renamed, bind: a, state: once.Elsewhere, code: result.TicketElsewhere},
+		"another instance":     {by: renamed, bind: a, state: once.OtherInstance, code: result.TicketElsewhere},
 		"a later incarnation":  {by: restarted, bind: a, code: result.TicketElsewhere},
 		"used, past retention": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.Served, nil) }, age: 2 * time.Hour, bind: a, code: result.TicketForgotten},
 		"did not run, expired": {prior: func(r *once.Registry, k string) { r.End(run(r, k), result.ShedByServer, nil) }, age: time.Minute, bind: a, code: result.TicketInvalid},
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := registry()
-			ticket := r.Mint(0, "registry")
+			ticket := r.Issue(0, "registry")
 			if tt.prior != nil {
 				tt.prior(r, ticket)
 			}
@@ -67,7 +67,7 @@
 func TestChangedTicketIsNotExecuted(t *testing.T) {
 	is := is.New(t)
 	r := registry()
-	raw, err := base64.RawURLEncoding.DecodeString(r.Mint(0, "registry"))
+	raw, err := base64.RawURLEncoding.DecodeString(r.Issue(0, "registry"))
 	is.NoErr(err)
 	for i := range raw {
 		forged := append([]byte(nil), raw...)
@@ -83,7 +83,7 @@
 	r.MaxAnswerBytes = 10
 	var tickets []string
 	for range 4 {
-		k := r.Mint(0, "registry")
+		k := r.Issue(0, "registry")
 		r.End(r.Begin(0, "registry", k, once.Binding{}), result.Served, &once.Answer{Body: make([]byte, 4)})
 		tickets = append(tickets, k)
 	}
@@ -96,7 +96,7 @@
 
 func FuzzTicket(f *testing.F) {
 	r := registry()
-	f.Add(r.Mint(0, "registry"))
+	f.Add(r.Issue(0, "registry"))
 	f.Add("")
 	f.Add("AQAAAAAAAAAHAAAAAAAAAAEAAAANCgDw")
 	f.Fuzz(func(t *testing.T, text string) {
