--- a/internal/beacon/beacon.go
+++ b/internal/beacon/beacon.go
@@ -91,7 +91,7 @@
 		// interruption; 0 if it is unavailable or the entry has no recent answer.
 		Steady time.Duration
 		// Crashes holds the latest reports of requests that crash servers.
-		Crashes []quarantine.Sighting
+		Crashes []quarantine.CrashReport
 	}
 
 	// News is the content of a heartbeat beside the liveness of entries.
@@ -100,7 +100,7 @@
 		// sender, received from the store or from other entries.
 		Changes map[follow.Kind]store.Version
 		// Crashes holds the latest reports of requests that crash servers.
-		Crashes []quarantine.Sighting
+		Crashes []quarantine.CrashReport
 	}
 
 	// Beacon sends and receives heartbeats and keeps the set of live entries.
--- a/internal/beacon/beacon_test.go
+++ b/internal/beacon/beacon_test.go
@@ -72,7 +72,7 @@
 	var received []int
 	b.Heard = func(_ time.Time, u beacon.News) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
-	late.Crashes = make([]quarantine.Sighting, 1)
+	late.Crashes = make([]quarantine.CrashReport, 1)
 	b.Receive(start, node(2, 2))
 	b.Receive(start, late)
 	is.Equal(received, []int{0})
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -43,7 +43,7 @@
 		{
 			Role: "quarantine", Quantity: quantityFingerprints, Size: "fingerprints", Sizes: sizes, Target: 1000,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(newQuarantine(n).News(time.Now(), n))
+				data, err := json.Marshal(newQuarantine(n).Reports(time.Now(), n))
 				return 2 * float64(len(data)), err
 			},
 		},
@@ -92,16 +92,16 @@
 	var failed error
 	cost, err := processorMicros(measuredComparisons, func(int) {
 		now := time.Now()
-		data, err := json.Marshal(list.News(now, n))
+		data, err := json.Marshal(list.Reports(now, n))
 		if err != nil {
 			failed = err
 		}
-		var received []quarantine.Sighting
+		var received []quarantine.CrashReport
 		if err := json.Unmarshal(data, &received); err != nil {
 			failed = err
 		}
 		for _, s := range received {
-			list.Learn(now, s)
+			list.Apply(now, s)
 		}
 	})
 	if failed != nil {
@@ -116,7 +116,7 @@
 	for i := range n {
 		var fp quarantine.Fingerprint
 		binary.BigEndian.PutUint32(fp[:], uint32(i))
-		l.Sight(now, fp, quarantine.Origin{Service: "registry", Class: "issue", Send: "entry-3-1796000000-" + strconv.Itoa(i), Began: now})
+		l.RecordCrash(now, fp, quarantine.Origin{Service: "registry", Class: "issue", Send: "entry-3-1796000000-" + strconv.Itoa(i), Began: now})
 	}
 	return l
 }
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -275,7 +275,7 @@
 	now := time.Now()
 	var out []operator.Quarantined
 	for _, e := range s.quarantine.Entries(now) {
-		out = append(out, operator.Quarantined{ID: e.Fingerprint.String(), Service: e.Service, Crashes: e.Sightings, Left: unit.Duration(e.Until.Sub(now))})
+		out = append(out, operator.Quarantined{ID: e.Fingerprint.String(), Service: e.Service, Crashes: e.Crashes, Left: unit.Duration(e.Until.Sub(now))})
 	}
 	return out, nil
 }
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -191,7 +191,7 @@
 		if res.responseStarted && c.h.Backend.Alive(context.WithoutCancel(c.ctx), s.permit.Server()) {
 			return
 		}
-		c.broadcast(q.Sight(time.Now(), c.fingerprint, c.crashOrigin(s)))
+		c.broadcast(q.RecordCrash(time.Now(), c.fingerprint, c.crashOrigin(s)))
 	case res.code == result.Served:
 		if report, ok := q.Clear(time.Now(), c.fingerprint); ok {
 			c.broadcast(report)
@@ -212,7 +212,7 @@
 
 // broadcast sends a report to the other entries, in the background. A caller
 // gets its error response only after the broadcast has ended.
-func (c *call) broadcast(report quarantine.Sighting) {
+func (c *call) broadcast(report quarantine.CrashReport) {
 	if c.h.Spread == nil {
 		return
 	}
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -64,7 +64,7 @@
 	CrashReporter interface {
 		// Spread returns once every reachable entry has received the report, or
 		// when ctx ends.
-		Spread(ctx context.Context, report quarantine.Sighting)
+		Spread(ctx context.Context, report quarantine.CrashReport)
 	}
 
 	// Handler serves callers. Its fields must not change after the first
--- a/internal/entry/setup_test.go
+++ b/internal/entry/setup_test.go
@@ -116,10 +116,10 @@
 	return all, 10 * time.Second
 }
 
-func (c *cluster) Spread(_ context.Context, report quarantine.Sighting) {
+func (c *cluster) Spread(_ context.Context, report quarantine.CrashReport) {
 	time.Sleep(c.slowReports)
 	for _, e := range c.entries {
-		e.Quarantine.Learn(time.Now(), report)
+		e.Quarantine.Apply(time.Now(), report)
 	}
 }
 
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -341,7 +341,7 @@
 func (c *call) writeAnswer(rep *reply) {
 	defer rep.Close()
 	c.code, c.status = result.Served, rep.Status
-	if c.h.Quarantine.Watching() {
+	if c.h.Quarantine.Active() {
 		c.h.Quarantine.Clear(time.Now(), c.fingerprint())
 	}
 	c.writeHeader(rep)
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -27,7 +27,7 @@
 		if c.h.Upstream.CanConnect(context.Background(), m.Address) {
 			return
 		}
-		c.h.Quarantine.Sight(time.Now(), fingerprint, origin)
+		c.h.Quarantine.RecordCrash(time.Now(), fingerprint, origin)
 		c.h.Log.Warn("backend server crashed during a request", "request", c.id, "server", m.Name, "fingerprint", fingerprint)
 	}()
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -152,7 +152,7 @@
 		return
 	}
 	c.service = c.pickService()
-	if h.Quarantine.Watching() {
+	if h.Quarantine.Active() {
 		if v := h.Quarantine.Check(c.start, c.fingerprint()); v.Refused {
 			c.retryDelay = v.RetryAfter
 			c.refuse(result.Quarantined)
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -385,7 +385,7 @@
 func (f *fixture) crashes() int {
 	n := 0
 	for _, e := range f.handler.Quarantine.Entries(time.Now()) {
-		n += e.Sightings
+		n += e.Crashes
 	}
 	return n
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -230,8 +230,8 @@
 	self.Ready = n.Ready()
 	self.Changes = n.options.Store.Changes()
 	self.Steady = n.options.Store.Steady(follow.Servers, time.Now())
-	if n.Quarantine.Watching() {
-		self.Crashes = n.Quarantine.News(time.Now(), beacon.MaxCrashes)
+	if n.Quarantine.Active() {
+		self.Crashes = n.Quarantine.Reports(time.Now(), beacon.MaxCrashes)
 	}
 	return self
 }
@@ -240,7 +240,7 @@
 func (n *Node) onUpdate(now time.Time, update beacon.News) {
 	n.options.Store.Hint(update.Changes)
 	for _, crash := range update.Crashes {
-		n.Quarantine.Learn(now, crash)
+		n.Quarantine.Apply(now, crash)
 	}
 }
 
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -23,8 +23,8 @@
 )
 
 type (
-	// Sighting is a report of one crash, or of the end of a fingerprint's state.
-	Sighting struct {
+	// CrashReport is a report of one crash, or of the end of a fingerprint's state.
+	CrashReport struct {
 		// Fingerprint is the fingerprint of the request.
 		Fingerprint Fingerprint `json:"fingerprint"`
 		// Send is the ID of the send that crashed the server.
@@ -73,8 +73,8 @@
 		Service id.Service `json:"service"`
 		// Class is the requests' class.
 		Class id.Class `json:"class"`
-		// Sightings is the number of crashes.
-		Sightings int `json:"sightings"`
+		// Crashes is the number of crashes.
+		Crashes int `json:"sightings"`
 		// Quarantined is set if all entries refuse the requests; otherwise they are
 		// on probation.
 		Quarantined bool `json:"quarantined"`
@@ -109,7 +109,7 @@
 
 	state struct {
 		// reports are the reports since the last lift, in the order of arrival.
-		reports    []Sighting
+		reports    []CrashReport
 		lastReport time.Time
 		liftedAt   time.Time
 		running    bool
@@ -165,40 +165,40 @@
 	}
 }
 
-// Sight records that a send crashed a server and returns the report for the other
+// RecordCrash records that a send crashed a server and returns the report for the other
 // entries.
-func (l *List) Sight(now time.Time, fp Fingerprint, o Origin) Sighting {
-	report := Sighting{Fingerprint: fp, Send: o.Send, Instance: l.Instance, Service: o.Service, Class: o.Class, Began: o.Began, At: now}
-	l.Learn(now, report)
+func (l *List) RecordCrash(now time.Time, fp Fingerprint, o Origin) CrashReport {
+	report := CrashReport{Fingerprint: fp, Send: o.Send, Instance: l.Instance, Service: o.Service, Class: o.Class, Began: o.Began, At: now}
+	l.Apply(now, report)
 	return report
 }
 
 // Clear ends the probation of a fingerprint whose request got a complete answer. It
 // returns the report for the other entries, and false if there was no probation.
-func (l *List) Clear(now time.Time, fp Fingerprint) (Sighting, bool) {
+func (l *List) Clear(now time.Time, fp Fingerprint) (CrashReport, bool) {
 	if l.size.Load() == 0 {
-		return Sighting{}, false
+		return CrashReport{}, false
 	}
 	l.mu.Lock()
 	s := l.states[fp]
 	probation := s != nil && len(s.reports) > 0 && !l.quarantined(s)
 	l.mu.Unlock()
 	if !probation {
-		return Sighting{}, false
+		return CrashReport{}, false
 	}
 	return l.Lift(now, fp), true
 }
 
 // Lift ends the state of a fingerprint and returns the report for the other entries.
-func (l *List) Lift(now time.Time, fp Fingerprint) Sighting {
-	report := Sighting{Fingerprint: fp, Instance: l.Instance, At: now, Lifted: true}
-	l.Learn(now, report)
+func (l *List) Lift(now time.Time, fp Fingerprint) CrashReport {
+	report := CrashReport{Fingerprint: fp, Instance: l.Instance, At: now, Lifted: true}
+	l.Apply(now, report)
 	return report
 }
 
-// Learn applies a report of this entry or another. Reports may arrive in any order
+// Apply applies a report of this entry or another. Reports may arrive in any order
 // and any number of times.
-func (l *List) Learn(now time.Time, report Sighting) {
+func (l *List) Apply(now time.Time, report CrashReport) {
 	if report.At.After(now.Add(maxSkew)) || now.Sub(report.At) >= l.memory() {
 		return
 	}
@@ -222,9 +222,9 @@
 	}
 }
 
-// Watching reports whether any fingerprint is listed. Otherwise no request needs to
+// Active reports whether any fingerprint is listed. Otherwise no request needs to
 // be checked.
-func (l *List) Watching() bool { return l.size.Load() > 0 }
+func (l *List) Active() bool { return l.size.Load() > 0 }
 
 func (l *List) quarantined(s *state) bool {
 	if l.Tolerated > 0 {
@@ -256,25 +256,25 @@
 }
 
 func (s *state) has(send string) bool {
-	return slices.ContainsFunc(s.reports, func(n Sighting) bool { return n.Send == send })
+	return slices.ContainsFunc(s.reports, func(n CrashReport) bool { return n.Send == send })
 }
 
-// News returns at most limit of the reports that make up the list, the latest first,
+// Reports returns at most limit of the reports that make up the list, the latest first,
 // for an entry that may not have received them.
-func (l *List) News(now time.Time, limit int) []Sighting {
+func (l *List) Reports(now time.Time, limit int) []CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []Sighting
+	var all []CrashReport
 	for fp, s := range l.states {
 		if now.Sub(s.lastReport) >= l.memory() {
 			continue
 		}
 		all = append(all, s.reports...)
 		if !s.liftedAt.IsZero() {
-			all = append(all, Sighting{Fingerprint: fp, Instance: l.Instance, At: s.liftedAt, Lifted: true})
+			all = append(all, CrashReport{Fingerprint: fp, Instance: l.Instance, At: s.liftedAt, Lifted: true})
 		}
 	}
-	slices.SortFunc(all, func(a, b Sighting) int {
+	slices.SortFunc(all, func(a, b CrashReport) int {
 		return cmp.Or(b.At.Compare(a.At), slices.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return all[:min(len(all), limit)]
@@ -291,7 +291,7 @@
 			continue
 		}
 		first := &s.reports[0]
-		all = append(all, Entry{Fingerprint: fp, Service: first.Service, Class: first.Class, Sightings: len(s.reports), Quarantined: l.quarantined(s), Until: until})
+		all = append(all, Entry{Fingerprint: fp, Service: first.Service, Class: first.Class, Crashes: len(s.reports), Quarantined: l.quarantined(s), Until: until})
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return all
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -15,38 +15,38 @@
 func TestCheckAfterReports(t *testing.T) {
 	fp := quarantine.Fingerprint{1}
 	now := start()
-	own := quarantine.Sighting{Fingerprint: fp, Instance: "entry-1", Send: "a", At: now}
-	foreign := quarantine.Sighting{Fingerprint: fp, Instance: "entry-2", Send: "a", At: now}
-	second := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Send: "b", Began: now.Add(1), At: now.Add(2)}
-	together := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Send: "c", Began: now.Add(-time.Second), At: now.Add(2)}
-	lifted := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Lifted: true, At: now.Add(time.Second)}
-	future := quarantine.Sighting{Fingerprint: fp, Instance: "entry-3", Send: "c", At: now.Add(time.Hour)}
+	own := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-1", Send: "a", At: now}
+	foreign := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-2", Send: "a", At: now}
+	second := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-3", Send: "b", Began: now.Add(1), At: now.Add(2)}
+	together := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-3", Send: "c", Began: now.Add(-time.Second), At: now.Add(2)}
+	lifted := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-3", Lifted: true, At: now.Add(time.Second)}
+	future := quarantine.CrashReport{Fingerprint: fp, Instance: "entry-3", Send: "c", At: now.Add(time.Hour)}
 	tests := map[string]struct {
-		reports []quarantine.Sighting
+		reports []quarantine.CrashReport
 		after   time.Duration
 		running bool
 		want    quarantine.Verdict
 	}{
 		"unknown":                              {},
-		"own first crash":                      {reports: []quarantine.Sighting{own}, want: quarantine.Verdict{Probation: true}},
-		"own first crash, one send is running": {reports: []quarantine.Sighting{own}, running: true, want: quarantine.Verdict{Refused: true, RetryAfter: time.Second}},
-		"another's first crash":                {reports: []quarantine.Sighting{foreign}, after: 10 * time.Second, want: quarantine.Verdict{Refused: true, RetryAfter: 20 * time.Second}},
-		"another's hold has expired":           {reports: []quarantine.Sighting{foreign}, after: 30 * time.Second, want: quarantine.Verdict{Probation: true}},
-		"two crashes":                          {reports: []quarantine.Sighting{own, second}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
-		"two by concurrent sends":              {reports: []quarantine.Sighting{own, together}, after: time.Minute, want: quarantine.Verdict{Probation: true}},
-		"two, the later received first":        {reports: []quarantine.Sighting{second, own}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
-		"the same report twice":                {reports: []quarantine.Sighting{own, own}, want: quarantine.Verdict{Probation: true}},
-		"expired":                              {reports: []quarantine.Sighting{own, second}, after: 30*time.Minute + 2},
-		"lifted":                               {reports: []quarantine.Sighting{own, second, lifted}, after: 2 * time.Second},
-		"lifted, older reports afterwards":     {reports: []quarantine.Sighting{lifted, own, second}, after: 2 * time.Second},
-		"report from the future":               {reports: []quarantine.Sighting{own, future}, want: quarantine.Verdict{Probation: true}},
+		"own first crash":                      {reports: []quarantine.CrashReport{own}, want: quarantine.Verdict{Probation: true}},
+		"own first crash, one send is running": {reports: []quarantine.CrashReport{own}, running: true, want: quarantine.Verdict{Refused: true, RetryAfter: time.Second}},
+		"another's first crash":                {reports: []quarantine.CrashReport{foreign}, after: 10 * time.Second, want: quarantine.Verdict{Refused: true, RetryAfter: 20 * time.Second}},
+		"another's hold has expired":           {reports: []quarantine.CrashReport{foreign}, after: 30 * time.Second, want: quarantine.Verdict{Probation: true}},
+		"two crashes":                          {reports: []quarantine.CrashReport{own, second}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
+		"two by concurrent sends":              {reports: []quarantine.CrashReport{own, together}, after: time.Minute, want: quarantine.Verdict{Probation: true}},
+		"two, the later received first":        {reports: []quarantine.CrashReport{second, own}, after: time.Minute, want: quarantine.Verdict{Refused: true, RetryAfter: 29*time.Minute + 2}},
+		"the same report twice":                {reports: []quarantine.CrashReport{own, own}, want: quarantine.Verdict{Probation: true}},
+		"expired":                              {reports: []quarantine.CrashReport{own, second}, after: 30*time.Minute + 2},
+		"lifted":                               {reports: []quarantine.CrashReport{own, second, lifted}, after: 2 * time.Second},
+		"lifted, older reports afterwards":     {reports: []quarantine.CrashReport{lifted, own, second}, after: 2 * time.Second},
+		"report from the future":               {reports: []quarantine.CrashReport{own, future}, want: quarantine.Verdict{Probation: true}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := &quarantine.List{Instance: "entry-1"}
 			for _, n := range tt.reports {
-				l.Learn(now, n)
+				l.Apply(now, n)
 			}
 			if tt.running {
 				l.Check(now.Add(tt.after), fp)
@@ -74,9 +74,9 @@
 				crashes = 0 // the quarantine expired
 			}
 			crashes, last = crashes+1, now
-			report := l.Sight(now.Add(1), fp, quarantine.Origin{Send: string(rune('a' + i)), Began: now})
+			report := l.RecordCrash(now.Add(1), fp, quarantine.Origin{Send: string(rune('a' + i)), Began: now})
 			for _, other := range lists {
-				other.Learn(now, report)
+				other.Apply(now, report)
 			}
 			if v.Probation {
 				l.Done(fp)
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	l := &quarantine.List{Instance: "entry-1", Listed: 100}
 	for i := range 300 {
-		l.Sight(start().Add(time.Duration(i)), quarantine.Fingerprint{byte(i), byte(i >> 8)}, quarantine.Origin{Service: "registry", Send: "a"})
+		l.RecordCrash(start().Add(time.Duration(i)), quarantine.Fingerprint{byte(i), byte(i >> 8)}, quarantine.Origin{Service: "registry", Send: "a"})
 	}
 	is.Equal(len(l.Entries(start().Add(time.Second))), 100)
 }
--- a/internal/sightings/exchange.go
+++ b/internal/sightings/exchange.go
@@ -47,7 +47,7 @@
 
 	// message is the parameter and the result of both methods.
 	message struct {
-		Reports []quarantine.Sighting `json:"news"`
+		Reports []quarantine.CrashReport `json:"news"`
 		// ForwardTo lists entries to which the receiver forwards the reports.
 		ForwardTo []id.Instance `json:"tell,omitempty"`
 	}
@@ -65,9 +65,9 @@
 
 // Spread sends a report to all other entries. It returns once each of them has
 // confirmed it or could not be reached, or when ctx ends.
-func (x *Exchange) Spread(ctx context.Context, report quarantine.Sighting) {
+func (x *Exchange) Spread(ctx context.Context, report quarantine.CrashReport) {
 	peer.Broadcast(ctx, x.Peers, callTimeout, x.Others(), MethodReport, func(forwardTo []id.Instance) any {
-		return message{Reports: []quarantine.Sighting{report}, ForwardTo: forwardTo}
+		return message{Reports: []quarantine.CrashReport{report}, ForwardTo: forwardTo}
 	})
 }
 
@@ -97,7 +97,7 @@
 	defer cancel()
 	var reply message
 	other := others[x.Rand.IntN(len(others))]
-	own := message{Reports: x.List.News(time.Now(), maxReports)}
+	own := message{Reports: x.List.Reports(time.Now(), maxReports)}
 	if err := x.Peers.Call(ctx, other, MethodCompare, own, &reply); err == nil {
 		x.apply(reply.Reports)
 	}
@@ -119,13 +119,13 @@
 		return nil, err
 	}
 	x.apply(m.Reports)
-	return message{Reports: x.List.News(time.Now(), maxReports)}, nil
+	return message{Reports: x.List.Reports(time.Now(), maxReports)}, nil
 }
 
-func (x *Exchange) apply(reports []quarantine.Sighting) {
+func (x *Exchange) apply(reports []quarantine.CrashReport) {
 	now := time.Now()
 	for i := range reports {
-		x.List.Learn(now, reports[i])
+		x.List.Apply(now, reports[i])
 	}
 }
 
--- a/internal/sightings/exchange_test.go
+++ b/internal/sightings/exchange_test.go
@@ -106,7 +106,7 @@
 					n.cut[c] = true
 				}
 				fp, now := quarantine.Fingerprint{1}, time.Now()
-				all["a"].Spread(t.Context(), all["a"].List.Sight(now, fp, quarantine.Origin{Service: "registry", Class: "lookup", Send: "s1"}))
+				all["a"].Spread(t.Context(), all["a"].List.RecordCrash(now, fp, quarantine.Origin{Service: "registry", Class: "lookup", Send: "s1"}))
 				is.True(time.Since(now) <= time.Second)
 				is.Equal(all["c"].List.Check(now, fp).Refused, tt.want)
 			})
@@ -126,8 +126,8 @@
 		for _, send := range []string{"s1", "s2"} {
 			o := quarantine.Origin{Service: "registry", Class: "lookup", Send: send, Began: time.Now()}
 			time.Sleep(time.Millisecond)
-			all["a"].List.Sight(time.Now(), fp, o)
-			all["b"].List.Sight(time.Now(), lifted, o)
+			all["a"].List.RecordCrash(time.Now(), fp, o)
+			all["b"].List.RecordCrash(time.Now(), lifted, o)
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
