--- a/internal/entry/budgets.go
+++ b/internal/entry/budgets.go
@@ -13,7 +13,7 @@
 type Budgets struct{ services sync.Map } // id.Service to *retry.Budget
 
 // CountFirst counts the first send of a request.
-func (b *Budgets) CountFirst(now time.Time, file *service.File) { b.of(file).First(now) }
+func (b *Budgets) CountFirst(now time.Time, file *service.File) { b.of(file).CountFirst(now) }
 
 // TakeRetry reports whether a retry is within the service's budget, and if so
 // takes it from the budget.
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -228,7 +228,7 @@
 		return nil, c.recordSendError(m, start, asSendError(err))
 	}
 	if c.sends++; c.sends == 1 {
-		c.h.budget(c.service).First(time.Now())
+		c.h.budget(c.service).CountFirst(time.Now())
 	}
 	rep := &reply{Answer: ans, member: m}
 	if code := c.check(rep); code != 0 {
@@ -244,7 +244,7 @@
 func (c *call) recordSendError(m *roster.Member, start time.Time, failed *upstream.SendError) result.Code {
 	if failed.Sent {
 		if c.sends++; c.sends == 1 {
-			c.h.budget(c.service).First(time.Now())
+			c.h.budget(c.service).CountFirst(time.Now())
 		}
 	}
 	o := roster.Outcome{Event: health.EventOf(failed.Code), Failed: true}
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -85,7 +85,7 @@
 		return
 	}
 	if r.sends++; r.sends == 1 {
-		e.budget.First(now)
+		e.budget.CountFirst(now)
 	}
 	r.tried = append(r.tried, m.Name)
 	s := e.model.servers.byName[m.Name]
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -72,8 +72,8 @@
 	return t.Deadline.Sub(now) > max(needed, time.Millisecond)
 }
 
-// First counts a first send.
-func (b *Budget) First(now time.Time) {
+// CountFirst counts a first send.
+func (b *Budget) CountFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.first[b.advance(now)]++
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -83,7 +83,7 @@
 			is := is.New(t)
 			var b retry.Budget
 			for range 100 {
-				b.First(start)
+				b.CountFirst(start)
 			}
 			n := 0
 			for range 200 {
@@ -109,7 +109,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			second := now.Unix()
 			if rapid.Bool().Draw(t, "first") {
-				b.First(now)
+				b.CountFirst(now)
 				first[second]++
 				continue
 			}
@@ -134,7 +134,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Microsecond)
-		budget.First(now)
+		budget.CountFirst(now)
 		budget.Take(now, 0.1)
 	}
 }
@@ -144,7 +144,7 @@
 	var b retry.Budget
 	for s := range 10 {
 		for range 100 {
-			b.First(start.Add(time.Duration(s) * time.Second))
+			b.CountFirst(start.Add(time.Duration(s) * time.Second))
 		}
 	}
 	n := 0
