--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -258,10 +258,10 @@
 	d.handler = &entry.Handler{
 		Instance: d.Settings.Instance, Incarnation: d.incarnation, Started: d.started,
 		Table: d.table, Leaving: d.closed, Admitter: d.admitter, Budget: &d.budgets,
-		Backend: &backend.Client{Dial: d.DialBackend, Entries: len(d.Settings.World.Entries)},
-		Lookup:  &d.lookups,
-		Once:    &once.Registry{Instance: d.Settings.Instance, Incarnation: d.incarnation, Key: key},
-		Entry:   d.callerAddress, Quarantine: &d.quarantine, Spread: d.crashReports,
+		Backend:      &backend.Client{Dial: d.DialBackend, Entries: len(d.Settings.World.Entries)},
+		Lookup:       &d.lookups,
+		Once:         &once.Registry{Instance: d.Settings.Instance, Incarnation: d.incarnation, Key: key},
+		EntryAddress: d.callerAddress, Quarantine: &d.quarantine, CrashReporter: d.crashReports,
 		Log: d.Log, Metrics: d.metrics,
 	}
 	limits := &d.Settings.Limits
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -286,7 +286,7 @@
 	if err := mark.UnmarshalText([]byte(name)); err != nil {
 		return operator.Errorf(result.BadCommand, "%v", err)
 	}
-	s.crashReports.Spread(ctx, s.quarantine.Lift(time.Now(), mark))
+	s.crashReports.Broadcast(ctx, s.quarantine.Lift(time.Now(), mark))
 	return nil
 }
 
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -213,13 +213,13 @@
 // broadcast sends a report to the other entries, in the background. A caller
 // gets its error response only after the broadcast has ended.
 func (c *call) broadcast(report quarantine.CrashReport) {
-	if c.h.Spread == nil {
+	if c.h.CrashReporter == nil {
 		return
 	}
 	c.broadcasts.Go(func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), broadcastTimeout)
 		defer cancel()
-		c.h.Spread.Spread(ctx, report)
+		c.h.CrashReporter.Broadcast(ctx, report)
 	})
 }
 
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -62,9 +62,9 @@
 
 	// CrashReporter sends crash reports to the other entries.
 	CrashReporter interface {
-		// Spread returns once every reachable entry has received the report, or
+		// Broadcast returns once every reachable entry has received the report, or
 		// when ctx ends.
-		Spread(ctx context.Context, report quarantine.CrashReport)
+		Broadcast(ctx context.Context, report quarantine.CrashReport)
 	}
 
 	// Handler serves callers. Its fields must not change after the first
@@ -90,14 +90,14 @@
 		Lookup Lookup
 		// Once issues tickets and keeps the outcomes of at-most-once requests.
 		Once *once.Registry
-		// Entry returns the address of another entry for callers, to which an
+		// EntryAddress returns the address of another entry for callers, to which an
 		// at-most-once request is forwarded; nil disables forwarding.
-		Entry func(id.Instance) (netip.AddrPort, bool)
+		EntryAddress func(id.Instance) (netip.AddrPort, bool)
 		// Quarantine rejects requests that crash backend servers; nil rejects
 		// none.
 		Quarantine *quarantine.List
-		// Spread sends crash reports to the other entries; nil sends none.
-		Spread CrashReporter
+		// CrashReporter sends crash reports to the other entries; nil sends none.
+		CrashReporter CrashReporter
 		// Budget limits retries; nil disables them.
 		Budget Budget
 		// CallerIdleTimeout is how long a caller may send no byte of its body,
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -204,11 +204,11 @@
 
 // forwardToIssuer forwards the request to the entry that issued its ticket.
 func (c *call) forwardToIssuer(to id.Instance) {
-	if c.h.Entry == nil || c.r.Header.Get(headerForwardedBy) != "" {
+	if c.h.EntryAddress == nil || c.r.Header.Get(headerForwardedBy) != "" {
 		c.writeError(result.TicketElsewhere, 0)
 		return
 	}
-	addr, ok := c.h.Entry(to)
+	addr, ok := c.h.EntryAddress(to)
 	if !ok {
 		c.writeError(result.TicketElsewhere, 0)
 		return
--- a/internal/entry/setup_test.go
+++ b/internal/entry/setup_test.go
@@ -107,7 +107,7 @@
 func (never) CountFirst(time.Time, *service.File)     {}
 func (never) TakeRetry(time.Time, *service.File) bool { return false }
 
-// Entries and Spread implement Lookup and CrashReporter for the entries.
+// Entries and Broadcast implement Lookup and CrashReporter for the entries.
 func (c *cluster) Entries(id.Service, netip.Addr) ([]lookup.Entry, time.Duration) {
 	var all []lookup.Entry
 	for _, e := range c.entries {
@@ -116,7 +116,7 @@
 	return all, 10 * time.Second
 }
 
-func (c *cluster) Spread(_ context.Context, report quarantine.CrashReport) {
+func (c *cluster) Broadcast(_ context.Context, report quarantine.CrashReport) {
 	time.Sleep(c.slowReports)
 	for _, e := range c.entries {
 		e.Quarantine.Apply(time.Now(), report)
@@ -200,12 +200,12 @@
 	h := &entry.Handler{
 		Instance: name, Incarnation: incarnation, Started: time.Now(), Admitter: firstFree{c}, Backend: client, Lookup: c,
 		Once:       &once.Registry{Instance: name, Incarnation: incarnation, Key: []byte(string(name) + "key")},
-		Quarantine: &quarantine.List{Instance: name}, Spread: c, Budget: always{}, Metrics: metrics.NewSet(),
+		Quarantine: &quarantine.List{Instance: name}, CrashReporter: c, Budget: always{}, Metrics: metrics.NewSet(),
 		Log: slog.New(slog.NewTextHandler(c, nil)),
 	}
 	table := &entry.Table{Version: 7, Services: map[id.Service]*service.File{"registry": c.file}}
 	h.Table = func() *entry.Table { return table }
-	h.Entry = func(name id.Instance) (netip.AddrPort, bool) {
+	h.EntryAddress = func(name id.Instance) (netip.AddrPort, bool) {
 		for _, e := range c.entries {
 			if e.Instance == name {
 				return e.addr(), true
--- a/internal/sightings/doc.go
+++ b/internal/sightings/doc.go
@@ -12,5 +12,5 @@
 //	x := &sightings.Exchange{List: list, Peers: node, Others: live, Rand: rng}
 //	x.Register(node)
 //	go x.Run(ctx)
-//	handler.Spread = x
+//	handler.CrashReporter = x
 package sightings
--- a/internal/sightings/exchange.go
+++ b/internal/sightings/exchange.go
@@ -63,9 +63,9 @@
 	r.Register(MethodCompare, x.handleCompare)
 }
 
-// Spread sends a report to all other entries. It returns once each of them has
+// Broadcast sends a report to all other entries. It returns once each of them has
 // confirmed it or could not be reached, or when ctx ends.
-func (x *Exchange) Spread(ctx context.Context, report quarantine.CrashReport) {
+func (x *Exchange) Broadcast(ctx context.Context, report quarantine.CrashReport) {
 	peer.Broadcast(ctx, x.Peers, callTimeout, x.Others(), MethodReport, func(forwardTo []id.Instance) any {
 		return message{Reports: []quarantine.CrashReport{report}, ForwardTo: forwardTo}
 	})
--- a/internal/sightings/exchange_test.go
+++ b/internal/sightings/exchange_test.go
@@ -84,9 +84,9 @@
 	return &network{handlers: map[id.Instance]map[string]peer.Handler{}, cut: map[[2]id.Instance]bool{}}
 }
 
-// TestSpread checks that a report reaches an entry that its sender can't reach,
+// TestBroadcast checks that a report reaches an entry that its sender can't reach,
 // relayed by another one.
-func TestSpread(t *testing.T) {
+func TestBroadcast(t *testing.T) {
 	tests := map[string]struct {
 		cut  [][2]id.Instance
 		want bool
@@ -106,7 +106,7 @@
 					n.cut[c] = true
 				}
 				fp, now := quarantine.Fingerprint{1}, time.Now()
-				all["a"].Spread(t.Context(), all["a"].List.RecordCrash(now, fp, quarantine.Origin{Service: "registry", Class: "lookup", Send: "s1"}))
+				all["a"].Broadcast(t.Context(), all["a"].List.RecordCrash(now, fp, quarantine.Origin{Service: "registry", Class: "lookup", Send: "s1"}))
 				is.True(time.Since(now) <= time.Second)
 				is.Equal(all["c"].List.Check(now, fp).Refused, tt.want)
 			})
