--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -83,7 +83,7 @@
 	crashReports *sightings.Exchange
 	members      membership.Table
 	heartbeat    *membership.Heartbeat
-	loads        loads.Board
+	loads        loads.Table
 	router       *routing.Router
 	limits       limits
 	budgets      entry.Budgets
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -60,7 +60,7 @@
 // a heartbeat reports.
 func (d *Daemon) observeHeartbeat(b *membership.Beat) {
 	d.config.Observe(b.Instance, b.Config)
-	d.loads.Take(b.Instance, time.Now(), b.Uses)
+	d.loads.Update(b.Instance, time.Now(), b.Uses)
 }
 
 // rebuildLookups builds a new lookup table from the current states of the
@@ -123,7 +123,7 @@
 			return
 		case <-tick.C:
 			now := time.Now()
-			d.loads.Take(d.Settings.Instance, now, d.ownReport().Uses)
+			d.loads.Update(d.Settings.Instance, now, d.ownReport().Uses)
 			d.router.Step(now, d.regionLoads)
 			d.rebuildLookups()
 		}
--- a/internal/loads/board.go
+++ b/internal/loads/board.go
@@ -22,9 +22,9 @@
 		Slots int
 	}
 
-	// Board stores the latest report of each entry. The zero Board is empty.
+	// Table stores the latest report of each entry. The zero Board is empty.
 	// A Board is safe for concurrent use.
-	Board struct {
+	Table struct {
 		mu      sync.Mutex
 		entries map[id.Instance]report
 	}
@@ -40,9 +40,9 @@
 	}
 )
 
-// Take stores the uses that an entry reported at now. Negative numbers, and uses
+// Update stores the uses that an entry reported at now. Negative numbers, and uses
 // beyond the first 10,000, are ignored.
-func (b *Board) Take(from id.Instance, now time.Time, uses []Use) {
+func (b *Table) Update(from id.Instance, now time.Time, uses []Use) {
 	r := report{at: now, uses: map[key]int{}}
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		if u.Slots > 0 {
@@ -60,7 +60,7 @@
 // Region returns the load of a region: the slots that the given entries use, as a
 // share of its slots. The value is missing if one of the entries has not
 // reported yet, or if there are no entries or no slots.
-func (b *Board) Region(service id.Service, region id.Region, slots int, entries []id.Instance) measured.Value[float64] {
+func (b *Table) Region(service id.Service, region id.Region, slots int, entries []id.Instance) measured.Value[float64] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var (
--- a/internal/loads/board_test.go
+++ b/internal/loads/board_test.go
@@ -32,9 +32,9 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b loads.Board
+			var b loads.Table
 			for from, uses := range tt.reports {
-				b.Take(from, now, uses)
+				b.Update(from, now, uses)
 			}
 			got, state := b.Region("registry", "fyn", tt.slots, tt.entries).Read(now, time.Second)
 			is.Equal(got, tt.want)
@@ -46,9 +46,9 @@
 func TestRegionHasAgeOfOldestReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
-	var b loads.Board
-	b.Take("a", now.Add(-10*time.Second), nil)
-	b.Take("b", now, nil)
+	var b loads.Table
+	b.Update("a", now.Add(-10*time.Second), nil)
+	b.Update("b", now, nil)
 	age, ok := b.Region("registry", "fyn", 10, []id.Instance{"a", "b"}).Age(now)
 	is.True(ok)
 	is.Equal(age, 10*time.Second)
--- a/internal/loads/uses_test.go
+++ b/internal/loads/uses_test.go
@@ -25,9 +25,9 @@
 	var decodedUses loads.Uses
 	is.NoErr(json.Unmarshal(data, &decodedUses))
 	now := time.Now()
-	var direct, decoded loads.Board
-	direct.Take("entry-1", now, uses)
-	decoded.Take("entry-1", now, decodedUses)
+	var direct, decoded loads.Table
+	direct.Update("entry-1", now, uses)
+	decoded.Update("entry-1", now, decodedUses)
 	for _, region := range []id.Region{"fyn", "jylland", "sjaelland"} {
 		for _, service := range []id.Service{"registry", "reports"} {
 			want, _ := direct.Region(service, region, 30, []id.Instance{"entry-1"}).Read(now, time.Hour)
