--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -33,14 +33,14 @@
 		{
 			Role: "membership", Quantity: "answer to a beat, B", Size: "peers heard", Sizes: peers, Target: zonePeers,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(newMembershipTable("a", n).Beat(time.Now(), 1, newOwn(ownUses)))
+				data, err := json.Marshal(newMembershipTable("a", n).Answer(time.Now(), 1, newOwn(ownUses)))
 				return float64(len(data)), err
 			},
 		},
 		{
 			Role: "membership", Quantity: "answer of 7 entries, B", Size: "services' regions in use", Sizes: []int{2, 4, 8, 16, 32}, Target: targetSites / fileServers,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(newMembershipTable("a", 6).Beat(time.Now(), 1, newOwn(n)))
+				data, err := json.Marshal(newMembershipTable("a", 6).Answer(time.Now(), 1, newOwn(n)))
 				return float64(len(data)), err
 			},
 		},
@@ -76,7 +76,7 @@
 	switch {
 	case failed != nil:
 		return 0, failed
-	case len(a.Beat(time.Now(), 1, membership.Own{}).Heard) < n:
+	case len(a.Answer(time.Now(), 1, membership.Own{}).Observed) < n:
 		return 0, eris.New("the measurement took longer than the heartbeat timeout")
 	}
 	return cost, err
@@ -114,7 +114,7 @@
 	}
 	h.Register(p.b)
 	a := newMembershipTable("a", n)
-	a.Take(time.Now(), &membership.Beat{Instance: "b", Incarnation: 1}, true, 0)
+	a.Apply(time.Now(), &membership.Beat{Instance: "b", Incarnation: 1}, true, 0)
 	return p, a, nil
 }
 
@@ -124,13 +124,13 @@
 	defer cancel()
 	var answer membership.Beat
 	sent := time.Now()
-	if err := p.a.Call(ctx, "b", membership.Method, a.BeatTo("b", sent, 1, newOwn(ownUses)), &answer); err != nil {
+	if err := p.a.Call(ctx, "b", membership.Method, a.HeartbeatTo("b", sent, 1, newOwn(ownUses)), &answer); err != nil {
 		return eris.Wrap(err, "beat")
 	}
 	if err := answer.Check(); err != nil {
 		return err
 	}
-	a.Take(time.Now(), &answer, true, time.Since(sent))
+	a.Apply(time.Now(), &answer, true, time.Since(sent))
 	return nil
 }
 
@@ -153,10 +153,10 @@
 	for i := range n {
 		b := membership.Beat{
 			Instance: id.Instance("entry-" + strconv.Itoa(i)), Incarnation: id.Incarnation(1_796_000_000_000_000_000 + i),
-			Own:   newOwn(ownUses),
-			Heard: []membership.Heard{{Instance: self, Incarnation: 1, Age: unit.Duration(heartbeatAge)}},
+			Own:      newOwn(ownUses),
+			Observed: []membership.Observation{{Instance: self, Incarnation: 1, Age: unit.Duration(heartbeatAge)}},
 		}
-		t.Take(now, &b, true, 0)
+		t.Apply(now, &b, true, 0)
 	}
 	return t
 }
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -33,14 +33,14 @@
 		// Incarnation is that of the sender's process.
 		Incarnation id.Incarnation `json:"incarnation"`
 		Own
-		// Heard lists the entries whose heartbeats the sender received
+		// Observed lists the entries whose heartbeats the sender received
 		// directly; in a heartbeat that is not an answer, only the receiver.
-		Heard []Heard `json:"heard,omitempty"`
+		Observed []Observation `json:"heard,omitempty"`
 	}
 
-	// Heard reports that the sender of a heartbeat received a heartbeat
+	// Observation reports that the sender of a heartbeat received a heartbeat
 	// directly from an entry.
-	Heard struct {
+	Observation struct {
 		// Instance is the entry.
 		Instance id.Instance `json:"instance"`
 		// Incarnation is that of the entry's process.
@@ -57,10 +57,10 @@
 	if b.Instance == "" || b.Incarnation == 0 {
 		return eris.New("heartbeat without a sender")
 	}
-	if len(b.Heard) > maxHeard {
-		return eris.Errorf("heartbeat lists %d entries, want at most %d", len(b.Heard), maxHeard)
+	if len(b.Observed) > maxHeard {
+		return eris.Errorf("heartbeat lists %d entries, want at most %d", len(b.Observed), maxHeard)
 	}
-	for _, h := range b.Heard {
+	for _, h := range b.Observed {
 		if h.Instance == "" || h.Age < 0 || h.Age.Std() > 24*time.Hour {
 			return eris.Errorf("heartbeat lists entry %q with age %s", h.Instance, h.Age)
 		}
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -109,7 +109,7 @@
 	defer cancel()
 	sent := time.Now()
 	var answer Beat
-	if err := h.Peers.Call(ctx, to, Method, h.Table.BeatTo(to, sent, h.Incarnation, h.Own()), &answer); err != nil {
+	if err := h.Peers.Call(ctx, to, Method, h.Table.HeartbeatTo(to, sent, h.Incarnation, h.Own()), &answer); err != nil {
 		return
 	}
 	if answer.Check() == nil && answer.Instance == to {
@@ -129,11 +129,11 @@
 		return nil, eris.Errorf("heartbeat of %s on a connection of %s", b.Instance, from.Instance)
 	}
 	h.apply(&b, false, 0)
-	return h.Table.Beat(time.Now(), h.Incarnation, h.Own()), nil
+	return h.Table.Answer(time.Now(), h.Incarnation, h.Own()), nil
 }
 
 func (h *Heartbeat) apply(b *Beat, answer bool, elapsed time.Duration) {
-	if h.Table.Take(time.Now(), b, answer, elapsed) && h.Applied != nil {
+	if h.Table.Apply(time.Now(), b, answer, elapsed) && h.Applied != nil {
 		h.Applied(b)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -225,7 +225,7 @@
 			table := membership.Table{Self: "entry-1"}
 			table.Tick(now)
 			for _, b := range tt.give {
-				table.Take(now, b, false, 0)
+				table.Apply(now, b, false, 0)
 			}
 			if tt.listed != "" {
 				table.ApplyList([]instances.Instance{{Name: "entry-2", State: tt.listed}})
@@ -242,7 +242,7 @@
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	table := membership.Table{Self: "entry-1"}
 	table.Tick(now)
-	table.Take(now, &membership.Beat{Instance: "entry-2", Incarnation: 1, Own: membership.Own{Config: config.Ref{Version: 1}}}, false, 0)
+	table.Apply(now, &membership.Beat{Instance: "entry-2", Incarnation: 1, Own: membership.Own{Config: config.Ref{Version: 1}}}, false, 0)
 	now = now.Add(time.Hour) // the process did not run
 	table.Tick(now)
 	m := table.Member("entry-2", now)
@@ -260,16 +260,16 @@
 	now := time.Now()
 	a, b := &membership.Table{Self: "a"}, &membership.Table{Self: "b"}
 	for _, name := range []id.Instance{"b", "c", "d"} {
-		a.Take(now, &membership.Beat{Instance: name, Incarnation: 3}, false, 0)
+		a.Apply(now, &membership.Beat{Instance: name, Incarnation: 3}, false, 0)
 	}
-	beat := a.BeatTo("b", now, 1, membership.Own{})
-	is.Equal(len(beat.Heard), 1)
-	is.Equal(beat.Heard[0].Instance, id.Instance("b"))
-	is.Equal(len(a.Beat(now, 1, membership.Own{}).Heard), 3)
+	beat := a.HeartbeatTo("b", now, 1, membership.Own{})
+	is.Equal(len(beat.Observed), 1)
+	is.Equal(beat.Observed[0].Instance, id.Instance("b"))
+	is.Equal(len(a.Answer(now, 1, membership.Own{}).Observed), 3)
 
-	is.True(b.Take(now, &beat, false, 0))
+	is.True(b.Apply(now, &beat, false, 0))
 	m := b.Member("a", now)
 	is.True(m.Mutual) // a reported that it receives the heartbeats of b
 	late := now.Add(membership.Timeout)
-	is.Equal(len(a.BeatTo("b", late, 1, membership.Own{}).Heard), 0)
+	is.Equal(len(a.HeartbeatTo("b", late, 1, membership.Own{}).Observed), 0)
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -88,11 +88,11 @@
 	t.ticked = now
 }
 
-// Take applies a heartbeat received at now, after an exchange that took elapsed.
+// Apply applies a heartbeat received at now, after an exchange that took elapsed.
 // Reports on third entries are applied only from answers, whose age is bounded
 // by elapsed. Take returns false for a heartbeat of an older incarnation, or of
 // this entry itself.
-func (t *Table) Take(now time.Time, b *Beat, answer bool, elapsed time.Duration) bool {
+func (t *Table) Apply(now time.Time, b *Beat, answer bool, elapsed time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peer(b.Instance)
@@ -103,7 +103,7 @@
 		*p = peerState{incarnation: b.Incarnation, listed: p.listed, started: p.started}
 	}
 	p.own, p.lastDirect = b.Own, now
-	for _, h := range b.Heard {
+	for _, h := range b.Observed {
 		at := now.Add(-elapsed - h.Age.Std())
 		switch {
 		case h.Instance == t.Self:
@@ -117,7 +117,7 @@
 
 // applyRelayed applies a report that another entry received a heartbeat of a
 // third one at the given time.
-func (t *Table) applyRelayed(h *Heard, at time.Time) {
+func (t *Table) applyRelayed(h *Observation, at time.Time) {
 	p := t.peer(h.Instance)
 	switch {
 	case h.Incarnation < p.incarnation:
@@ -146,26 +146,26 @@
 	}
 }
 
-// BeatTo returns this entry's heartbeat to another entry. It lists only the
+// HeartbeatTo returns this entry's heartbeat to another entry. It lists only the
 // receiver, since the receiver of a heartbeat that is not an answer ignores all
 // other reports.
-func (t *Table) BeatTo(to id.Instance, now time.Time, incarnation id.Incarnation, own Own) Beat {
+func (t *Table) HeartbeatTo(to id.Instance, now time.Time, incarnation id.Incarnation, own Own) Beat {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := Beat{Instance: t.Self, Incarnation: incarnation, Own: own}
 	if p := t.peers[to]; p != nil {
-		b.Heard = p.heard(nil, to, now)
+		b.Observed = p.heard(nil, to, now)
 	}
 	return b
 }
 
-// Beat returns this entry's answer to a heartbeat.
-func (t *Table) Beat(now time.Time, incarnation id.Incarnation, own Own) Beat {
+// Answer returns this entry's answer to a heartbeat.
+func (t *Table) Answer(now time.Time, incarnation id.Incarnation, own Own) Beat {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := Beat{Instance: t.Self, Incarnation: incarnation, Own: own}
 	for name, p := range t.peers {
-		b.Heard = p.heard(b.Heard, name, now)
+		b.Observed = p.heard(b.Observed, name, now)
 	}
 	return b
 }
@@ -213,11 +213,11 @@
 
 // heard appends a report on the named entry if a heartbeat was received
 // directly from it within Timeout.
-func (p *peerState) heard(dst []Heard, name id.Instance, now time.Time) []Heard {
+func (p *peerState) heard(dst []Observation, name id.Instance, now time.Time) []Observation {
 	if !within(p.lastDirect, now) {
 		return dst
 	}
-	return append(dst, Heard{Instance: name, Incarnation: p.incarnation, Age: unit.Duration(max(now.Sub(p.lastDirect), 0)), Leaving: p.own.Leaving})
+	return append(dst, Observation{Instance: name, Incarnation: p.incarnation, Age: unit.Duration(max(now.Sub(p.lastDirect), 0)), Leaving: p.own.Leaving})
 }
 
 // shift moves the times of the received heartbeats by the length of a pause of
