--- a/internal/capacity/guard_test.go
+++ b/internal/capacity/guard_test.go
@@ -181,7 +181,7 @@
 	k := &config.Keeper{Store: s, Caller: node, Peers: others, Log: log}
 	node.Register(config.FetchMethod, k.HandleFetch)
 	x := &notices.Exchange{
-		Self: entryName(i), Board: new(notices.Board), Peers: node, Others: others, Store: s,
+		Self: entryName(i), Table: new(notices.Table), Peers: node, Others: others, Store: s,
 		Rand: rand.New(rand.NewPCG(uint64(i), 1)), Log: log,
 	}
 	x.Register(node)
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -78,8 +78,8 @@
 	return cost, err
 }
 
-func newNoticeBoard(n int) *notices.Board {
-	b := new(notices.Board)
+func newNoticeBoard(n int) *notices.Table {
+	b := new(notices.Table)
 	now := time.Unix(1_796_000_000, 123_456_789).UTC()
 	for i := range n {
 		b.Set(notices.Key{Service: "registry", Server: id.Server("registry-" + strconv.Itoa(i))}, true, now, "entry-3")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -76,7 +76,7 @@
 	lookups      lookups
 	slots        shared.Admitter
 	leases       *lease.Keeper
-	board        notices.Board
+	board        notices.Table
 	exchange     *notices.Exchange
 	quarantine   quarantine.List
 	config       *config.Keeper
@@ -220,8 +220,8 @@
 	d.store = &observed.Store{Store: base}
 	d.node = &rpc.Node{Self: peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}, Dial: d.dialPeer}
 	d.exchange = &notices.Exchange{
-		Self: d.Settings.Instance, Board: &d.board, Peers: d.node, Others: d.others, Store: d.store,
-		Rand: mathrand(d.incarnation), Changed: d.noticesChanged, Log: d.Log,
+		Self: d.Settings.Instance, Table: &d.board, Peers: d.node, Others: d.others, Store: d.store,
+		Rand: mathrand(d.incarnation), OnChange: d.noticesChanged, Log: d.Log,
 	}
 	d.exchange.Register(d.node)
 	d.quarantine.Instance = d.Settings.Instance
--- a/internal/notices/board.go
+++ b/internal/notices/board.go
@@ -41,9 +41,9 @@
 		Server id.Server
 	}
 
-	// Board holds the latest notice of each backend server. The zero value is
+	// Table holds the latest notice of each backend server. The zero value is
 	// empty. It is safe for concurrent use; readers take no lock.
-	Board struct {
+	Table struct {
 		mu      sync.Mutex
 		latest  atomic.Pointer[contents]
 		highest uint64
@@ -65,19 +65,19 @@
 }
 
 // Leaving reports whether the server is leaving according to its latest notice.
-func (b *Board) Leaving(service id.Service, server id.Server) bool {
+func (b *Table) Leaving(service id.Service, server id.Server) bool {
 	n, ok := b.Get(Key{Service: service, Server: server})
 	return ok && n.Leaving
 }
 
 // Get returns the latest notice of a server.
-func (b *Board) Get(k Key) (Notice, bool) {
+func (b *Table) Get(k Key) (Notice, bool) {
 	n, ok := b.load()[k]
 	return n, ok
 }
 
 // All returns the latest notices, ordered by service and server.
-func (b *Board) All() []Notice {
+func (b *Table) All() []Notice {
 	latest := b.load()
 	out := make([]Notice, 0, len(latest))
 	for _, n := range latest {
@@ -91,7 +91,7 @@
 
 // Digest returns a hash of the latest notices, which doesn't depend on the
 // order in which they were received; 0 if there are none.
-func (b *Board) Digest() uint64 {
+func (b *Table) Digest() uint64 {
 	if p := b.latest.Load(); p != nil {
 		return p.digest
 	}
@@ -100,7 +100,7 @@
 
 // Set adds and returns a notice with a higher sequence number than all notices
 // received so far.
-func (b *Board) Set(k Key, leaving bool, now time.Time, by id.Instance) Notice {
+func (b *Table) Set(k Key, leaving bool, now time.Time, by id.Instance) Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := Notice{Service: k.Service, Server: k.Server, Leaving: leaving, Since: now, Sequence: b.highest + 1, By: by}
@@ -110,7 +110,7 @@
 
 // Merge adds notices of other entries and returns those that were new. Invalid
 // notices are ignored.
-func (b *Board) Merge(notices []Notice) []Notice {
+func (b *Table) Merge(notices []Notice) []Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var added []Notice
@@ -131,7 +131,7 @@
 
 // add replaces the map by a copy that contains the given notices. A notice is
 // skipped if the map, or the list before it, has one that supersedes it.
-func (b *Board) add(notices []Notice) {
+func (b *Table) add(notices []Notice) {
 	current := b.load()
 	next := &contents{notices: make(map[Key]Notice, len(current)+len(notices)), digest: b.Digest()}
 	maps.Copy(next.notices, current)
@@ -150,7 +150,7 @@
 	b.latest.Store(next)
 }
 
-func (b *Board) load() map[Key]Notice {
+func (b *Table) load() map[Key]Notice {
 	if p := b.latest.Load(); p != nil {
 		return p.notices
 	}
--- a/internal/notices/doc.go
+++ b/internal/notices/doc.go
@@ -4,11 +4,11 @@
 // A [Notice] states that a backend server is leaving, or that it is back. Of
 // two notices for one server, the one with the higher sequence number wins, and
 // the author's name decides between equal numbers, so that entries that have
-// received the same notices agree, regardless of their order. A [Board] holds
+// received the same notices agree, regardless of their order. A [Table] holds
 // the latest notice of each server.
 //
 // An [Exchange] sends a new notice to every other entry at once, and compares
-// its [Board] with that of one other entry every [Exchange.Period], which
+// its [Table] with that of one other entry every [Exchange.Period], which
 // repairs lost messages. Notices take effect without the platform's store. The
 // author also writes them to the store, and retries until it succeeds, so that
 // they survive a restart of all entries.
--- a/internal/notices/exchange.go
+++ b/internal/notices/exchange.go
@@ -37,8 +37,8 @@
 	Exchange struct {
 		// Self is the name of this entry.
 		Self id.Instance
-		// Board holds the notices of this entry.
-		Board *Board
+		// Table holds the notices of this entry.
+		Table *Table
 		// Peers calls other entries.
 		Peers peer.Caller
 		// Others returns the other entries to exchange notices with.
@@ -50,8 +50,8 @@
 		// Rand jitters the period and chooses the entry to compare with. It is
 		// used by Run alone.
 		Rand *rand.Rand
-		// Changed is called after new notices have been added; it may be nil.
-		Changed func()
+		// OnChange is called after new notices have been added; it may be nil.
+		OnChange func()
 		// Log receives one line per new notice.
 		Log *slog.Logger
 
@@ -84,7 +84,7 @@
 // until ctx ends. It is relayed by other entries to those that don't confirm
 // it. Post returns the entries that did not confirm it directly.
 func (x *Exchange) Post(ctx context.Context, k Key, leaving bool) (Notice, []id.Instance) {
-	n := x.Board.Set(k, leaving, time.Now(), x.Self)
+	n := x.Table.Set(k, leaving, time.Now(), x.Self)
 	x.reportChanges([]Notice{n})
 	x.mu.Lock()
 	if x.unsaved == nil {
@@ -127,12 +127,12 @@
 	}
 	var reply message
 	other := others[x.Rand.IntN(len(others))]
-	if err := x.call(ctx, other, MethodCompare, message{Digest: x.Board.Digest()}, &reply); err != nil {
+	if err := x.call(ctx, other, MethodCompare, message{Digest: x.Table.Digest()}, &reply); err != nil {
 		return
 	}
-	x.reportChanges(x.Board.Merge(reply.Notices))
-	if x.Board.Digest() != reply.Digest {
-		_ = x.call(ctx, other, MethodPost, message{Notices: x.Board.All()}, nil) // the next comparison repairs a lost message
+	x.reportChanges(x.Table.Merge(reply.Notices))
+	if x.Table.Digest() != reply.Digest {
+		_ = x.call(ctx, other, MethodPost, message{Notices: x.Table.All()}, nil) // the next comparison repairs a lost message
 	}
 }
 
@@ -158,9 +158,9 @@
 	if err != nil {
 		return nil, err
 	}
-	reply := message{Digest: x.Board.Digest()}
+	reply := message{Digest: x.Table.Digest()}
 	if reply.Digest != m.Digest {
-		reply.Notices = x.Board.All()
+		reply.Notices = x.Table.All()
 	}
 	return reply, nil
 }
@@ -174,7 +174,7 @@
 	if len(m.Notices) > maxNotices {
 		return nil, eris.Errorf("%d notices, want at most %d", len(m.Notices), maxNotices)
 	}
-	x.reportChanges(x.Board.Merge(m.Notices))
+	x.reportChanges(x.Table.Merge(m.Notices))
 	return m, nil
 }
 
@@ -191,7 +191,7 @@
 	for _, o := range objects {
 		var n Notice
 		if json.Unmarshal(o.Value, &n) == nil {
-			x.reportChanges(x.Board.Merge([]Notice{n}))
+			x.reportChanges(x.Table.Merge([]Notice{n}))
 		}
 	}
 }
@@ -242,7 +242,7 @@
 	for _, n := range added {
 		x.Log.Info("notice", "service", n.Service, "server", n.Server, "leaving", n.Leaving, "by", n.By, "sequence", n.Sequence)
 	}
-	if len(added) > 0 && x.Changed != nil {
-		x.Changed()
+	if len(added) > 0 && x.OnChange != nil {
+		x.OnChange()
 	}
 }
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -39,7 +39,7 @@
 	self := name(i)
 	node := c.network.Node(peer.Sender{Instance: self, Incarnation: 1})
 	x := &notices.Exchange{
-		Self: self, Board: new(notices.Board), Peers: node, Store: &c.store,
+		Self: self, Table: new(notices.Table), Peers: node, Store: &c.store,
 		Period: c.period, Rand: rand.New(rand.NewPCG(1, uint64(i))), Log: slog.New(slog.DiscardHandler),
 		Others: func() []id.Instance {
 			var others []id.Instance
@@ -59,7 +59,7 @@
 
 func (c *cluster) agree(leaving bool) bool {
 	for _, x := range c.exchanges {
-		if x.Board.Leaving(server.Service, server.Server) != leaving {
+		if x.Table.Leaving(server.Service, server.Server) != leaving {
 			return false
 		}
 	}
@@ -142,8 +142,8 @@
 		c.exchanges[1].Post(ctx, server, false)
 		c.exchanges[3].Post(ctx, server, true)
 		time.Sleep(time.Hour)
-		is.True(c.exchanges[0].Board.Leaving(server.Service, server.Server) == false)
-		is.True(c.exchanges[2].Board.Leaving(server.Service, server.Server))
+		is.True(c.exchanges[0].Table.Leaving(server.Service, server.Server) == false)
+		is.True(c.exchanges[2].Table.Leaving(server.Service, server.Server))
 		c.network.SetHook(nil)
 		time.Sleep(time.Minute)
 		is.True(c.agree(false)) // the author of the second notice had received the first one
@@ -169,14 +169,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b notices.Board
+			var b notices.Table
 			added := 0
 			for _, n := range tt.give {
 				added += len(b.Merge([]notices.Notice{n}))
 			}
 			is.Equal(b.Leaving("registry", "registry-07"), tt.want)
 			is.Equal(added, tt.added)
-			var other notices.Board
+			var other notices.Table
 			other.Merge(tt.give) // all at once
 			is.Equal(other.Leaving("registry", "registry-07"), tt.want)
 		})
@@ -187,7 +187,7 @@
 	is := is.New(t)
 	first := notices.Notice{Service: "registry", Server: "registry-07", Leaving: true, Sequence: 3, By: "entry-1"}
 	other := notices.Notice{Service: "registry", Server: "registry-08", Leaving: true, Sequence: 4, By: "entry-2"}
-	var a, b notices.Board
+	var a, b notices.Table
 	is.Equal(a.Digest(), uint64(0))
 	a.Merge([]notices.Notice{first, other})
 	b.Merge([]notices.Notice{other})
@@ -201,7 +201,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var c notices.Board
+			var c notices.Table
 			n := first
 			change(&n)
 			c.Merge([]notices.Notice{n, other})
@@ -218,11 +218,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		c := start(ctx, 2, time.Second)
 		for i := range 500 {
-			c.exchanges[0].Board.Set(notices.Key{Service: "registry", Server: id.Server(fmt.Sprintf("registry-%d", i))}, true, time.Now(), "entry-0")
+			c.exchanges[0].Table.Set(notices.Key{Service: "registry", Server: id.Server(fmt.Sprintf("registry-%d", i))}, true, time.Now(), "entry-0")
 		}
 		time.Sleep(5 * time.Second)
-		is.Equal(c.exchanges[0].Board.Digest(), c.exchanges[1].Board.Digest())
-		is.Equal(len(c.exchanges[1].Board.All()), 500)
+		is.Equal(c.exchanges[0].Table.Digest(), c.exchanges[1].Table.Digest())
+		is.Equal(len(c.exchanges[1].Table.All()), 500)
 		calls, bytes := c.network.Sent()
 		time.Sleep(time.Minute)
 		moreCalls, moreBytes := c.network.Sent()
@@ -241,7 +241,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		c := start(ctx, 2, time.Second)
 		c.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: m.From == "entry-1"} })
-		c.exchanges[0].Board.Set(server, true, time.Now(), "entry-0")
+		c.exchanges[0].Table.Set(server, true, time.Now(), "entry-0")
 		time.Sleep(5 * time.Second)
 		is.True(c.agree(true))
 		cancel()
