--- a/internal/capacity/homes.go
+++ b/internal/capacity/homes.go
@@ -91,7 +91,7 @@
 
 func newBucket(holders, servers int) *bucket {
 	b := &bucket{ledger: ledger.Ledger{
-		Bucket: wire.Bucket{Service: "registry", Zone: "fyn-1"}, Lifetime: 2 * time.Second, Longest: time.Minute, Silence: time.Second,
+		Bucket: wire.Bucket{Service: "registry", Zone: "fyn-1"}, Lifetime: 2 * time.Second, MaxRequestTime: time.Minute, ReportTimeout: time.Second,
 	}}
 	var slots []ledger.Slots
 	for i := range servers {
--- a/internal/slots/ledger/ledger.go
+++ b/internal/slots/ledger/ledger.go
@@ -44,12 +44,12 @@
 		// report that renewed it, or after it began the store read that
 		// confirmed it.
 		Lifetime time.Duration
-		// Longest is the longest time that a request may still run after the
+		// MaxRequestTime is the longest time that a request may still run after the
 		// moment at which it took its slot.
-		Longest time.Duration
-		// Silence is the time without a report after which a holder's slots
+		MaxRequestTime time.Duration
+		// ReportTimeout is the time without a report after which a holder's slots
 		// should be reclaimed.
-		Silence time.Duration
+		ReportTimeout time.Duration
 		// Scatter distributes free slots among the holders instead of keeping
 		// them at the home, so that few slots are unknown after the home
 		// fails. It may be set at any time.
@@ -112,7 +112,7 @@
 	l.term = term
 	l.unknownUntil = now
 	if term != firstTerm {
-		l.unknownUntil = now + l.Lifetime + l.Longest
+		l.unknownUntil = now + l.Lifetime + l.MaxRequestTime
 	}
 	for _, a := range l.accounts {
 		switch {
@@ -190,7 +190,7 @@
 	for _, a := range l.accounts {
 		sum += a.unknown + a.orphaned
 		for instance, g := range a.grants {
-			if now-l.holders[instance].lastReport >= l.Silence {
+			if now-l.holders[instance].lastReport >= l.ReportTimeout {
 				sum += g.held()
 			}
 		}
@@ -213,7 +213,7 @@
 			return true
 		}
 		for instance, g := range a.grants {
-			if g.held() > 0 && now-l.holders[instance].lastReport >= l.Silence {
+			if g.held() > 0 && now-l.holders[instance].lastReport >= l.ReportTimeout {
 				return true
 			}
 		}
--- a/internal/slots/ledger/ledger_test.go
+++ b/internal/slots/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 )
 
 func newLedger(term id.Term, slots int) *ledger.Ledger {
-	l := &ledger.Ledger{Bucket: bucket(), Lifetime: lifetime, Longest: longest, Silence: lifetime}
+	l := &ledger.Ledger{Bucket: bucket(), Lifetime: lifetime, MaxRequestTime: longest, ReportTimeout: lifetime}
 	l.Configure([]ledger.Slots{{Server: "a", Slots: slots, Ceiling: slots}}, 0)
 	l.Begin(term, 0)
 	l.SetAuthority(forever)
--- a/internal/slots/ledger/model_test.go
+++ b/internal/slots/ledger/model_test.go
@@ -93,7 +93,7 @@
 	g := e.gate
 	e.holder = &holder.Holder{Bucket: bucket(), Lifetime: modelLifetime, Gate: func(id.Server) *gate.Gate { return g }}
 	e.holder.Configure([]id.Server{modelServer})
-	e.ledger = &ledger.Ledger{Bucket: bucket(), Lifetime: modelLifetime, Longest: m.longest, Silence: modelLifetime}
+	e.ledger = &ledger.Ledger{Bucket: bucket(), Lifetime: modelLifetime, MaxRequestTime: m.longest, ReportTimeout: modelLifetime}
 	e.ledger.Scatter = m.scatter
 	e.ledger.Configure([]ledger.Slots{{Server: modelServer, Slots: modelSlots, Ceiling: modelSlots}}, m.clock(e))
 	e.paused = nil
--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -90,7 +90,7 @@
 	}
 	b.holder.Configure(names)
 	if b.ledger != nil {
-		b.ledger.Longest = max(b.ledger.Longest, p.Longest)
+		b.ledger.MaxRequestTime = max(b.ledger.MaxRequestTime, p.Longest)
 		b.ledger.Configure(p.Slots, now)
 	}
 }
@@ -107,7 +107,7 @@
 		return
 	}
 	if b.ledger == nil {
-		b.ledger = &ledger.Ledger{Bucket: b.key, Lifetime: n.Lifetime, Longest: b.plan.Longest, Silence: n.Lifetime}
+		b.ledger = &ledger.Ledger{Bucket: b.key, Lifetime: n.Lifetime, MaxRequestTime: b.plan.Longest, ReportTimeout: n.Lifetime}
 		b.ledger.Configure(b.plan.Slots, now)
 	}
 	if term > b.ledger.Term() {
