--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -65,12 +65,12 @@
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 2))
-	kinds := map[string]standin.Answer{}
+	kinds := map[string]standin.ResponseFault{}
 	srv := &standin.Server{Name: "one"}
-	srv.SetFaults(standin.Faults{Spoil: func(r *http.Request) standin.Answer {
+	srv.SetFaults(standin.Faults{Response: func(r *http.Request) standin.ResponseFault {
 		mu.Lock()
 		defer mu.Unlock()
-		kind := standin.Answer(max(rng.IntN(12)-6, 0))
+		kind := standin.ResponseFault(max(rng.IntN(12)-6, 0))
 		kinds[r.Header.Get(result.HeaderRequestID)] = kind
 		return kind
 	}})
@@ -96,7 +96,7 @@
 				case ran && codeOf(err).Ran() != result.Unknown:
 					t.Errorf("%s ran, but the code is %d", id, codeOf(err))
 				}
-				if err == nil && (kind == standin.Cut || kind == standin.Unframed || kind == standin.Foreign) {
+				if err == nil && (kind == standin.Truncated || kind == standin.Unframed || kind == standin.WrongSendID) {
 					t.Errorf("%s: malformed response of kind %d looked complete", id, kind)
 				}
 			}
@@ -140,7 +140,7 @@
 				is := is.New(t)
 				var n pipe.Network
 				addr := netip.MustParseAddrPort("10.0.0.1:80")
-				srv := &standin.Server{Name: "one", Service: map[string]time.Duration{"/": tt.sleep}}
+				srv := &standin.Server{Name: "one", RunningTime: map[string]time.Duration{"/": tt.sleep}}
 				srv.SetFaults(tt.faults)
 				if !tt.closed {
 					l, err := n.Listen(addr)
@@ -260,10 +260,10 @@
 				is.NoErr(err)
 				srv.Serve(l)
 				if tt.silent {
-					srv.SetFaults(standin.Faults{Crash: func(*http.Request) bool { srv.Silence(1); time.Sleep(time.Hour); return false }})
+					srv.SetFaults(standin.Faults{Crash: func(*http.Request) bool { srv.StallConnections(1); time.Sleep(time.Hour); return false }})
 				}
 				if tt.stuck {
-					srv.SetFaults(standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Stuck }})
+					srv.SetFaults(standin.Faults{Response: func(*http.Request) standin.ResponseFault { return standin.Stalled }})
 				}
 				c := &backend.Client{Dial: n.Dial}
 				req := request(tt.method, "/a", "r1", "")
--- a/internal/entry/fault_test.go
+++ b/internal/entry/fault_test.go
@@ -46,11 +46,11 @@
 		}
 		wg.Wait()
 	}
-	c.faults(standin.Faults{Slower: time.Millisecond}) // so that reads are concurrent
-	read(1)                                            // the server echoes the send ID, so that connections are kept
+	c.faults(standin.Faults{ExtraTime: time.Millisecond}) // so that reads are concurrent
+	read(1)                                               // the server echoes the send ID, so that connections are kept
 	read(12)
 	for _, s := range c.servers {
-		s.Silence(nth)
+		s.StallConnections(nth)
 	}
 	started := time.Now()
 	read(12)
@@ -113,13 +113,13 @@
 // Only failures that count as crashes may lead to its quarantine.
 func TestCrashDetection(t *testing.T) {
 	tests := map[string]struct {
-		spoil standin.Answer
+		spoil standin.ResponseFault
 		stop  bool
 		want  bool
 	}{
-		"truncated by a live server":            {spoil: standin.Cut},
-		"closed without a response":             {spoil: standin.Nothing, want: true},
-		"crashed in the middle of the response": {spoil: standin.Cut, stop: true, want: true},
+		"truncated by a live server":            {spoil: standin.Truncated},
+		"closed without a response":             {spoil: standin.NoAnswer, want: true},
+		"crashed in the middle of the response": {spoil: standin.Truncated, stop: true, want: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 				is := is.New(t)
 				c := newPipeCluster(t, 4, 1)
 				for _, s := range c.servers {
-					s.SetFaults(standin.Faults{Spoil: func(*http.Request) standin.Answer {
+					s.SetFaults(standin.Faults{Response: func(*http.Request) standin.ResponseFault {
 						if tt.stop {
 							time.AfterFunc(time.Millisecond, func() { s.Close() })
 						}
@@ -170,8 +170,8 @@
 		code   result.Code
 	}{
 		"shed":        {faults: standin.Faults{Shed: true}, code: result.ShedByServer},
-		"truncated":   {faults: standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Cut }}, code: result.AnswerCut},
-		"no response": {faults: standin.Faults{Slower: time.Hour}, code: result.AnswerLate},
+		"truncated":   {faults: standin.Faults{Response: func(*http.Request) standin.ResponseFault { return standin.Truncated }}, code: result.AnswerCut},
+		"no response": {faults: standin.Faults{ExtraTime: time.Hour}, code: result.AnswerLate},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -183,7 +183,7 @@
 				is.Equal(c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r1").code, tt.code)
 				begun := 0
 				for _, s := range c.servers {
-					begun += s.Record().Begun["r1"]
+					begun += s.Record().Started["r1"]
 				}
 				is.Equal(begun, 1)
 			})
@@ -198,7 +198,7 @@
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
 	running := make(chan struct{}, 1)
-	c.faults(standin.Faults{Slower: time.Hour, Crash: func(*http.Request) bool { running <- struct{}{}; return false }})
+	c.faults(standin.Faults{ExtraTime: time.Hour, Crash: func(*http.Request) bool { running <- struct{}{}; return false }})
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, "POST", c.entries[0].http.URL+"/s/registry/a", strings.NewReader("x"))
 	is.NoErr(err)
@@ -259,11 +259,11 @@
 			c := newCluster(t, 1, 1)
 			var mu sync.Mutex
 			var paths []string
-			c.faults(standin.Faults{Spoil: func(r *http.Request) standin.Answer {
+			c.faults(standin.Faults{Response: func(r *http.Request) standin.ResponseFault {
 				mu.Lock()
 				defer mu.Unlock()
 				paths = append(paths, r.URL.Path)
-				return standin.Whole
+				return standin.Intact
 			}})
 			conn, err := net.Dial("tcp", c.entries[0].addr().String())
 			is.NoErr(err)
--- a/internal/entry/handler_test.go
+++ b/internal/entry/handler_test.go
@@ -82,11 +82,11 @@
 	c := newCluster(t, 1, 1)
 	var mu sync.Mutex
 	var seen http.Header
-	c.faults(standin.Faults{Spoil: func(r *http.Request) standin.Answer {
+	c.faults(standin.Faults{Response: func(r *http.Request) standin.ResponseFault {
 		mu.Lock()
 		defer mu.Unlock()
 		seen = r.Header.Clone()
-		return standin.Whole
+		return standin.Intact
 	}})
 	got := c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderShed, "1", result.HeaderSend, "forged", "Shallotpier-Other", "x",
 		"Connection", "X-Hop, Authorization", "X-Hop", "1", "Authorization", "a", "X-End", "2", result.HeaderRequestID, "a b\tcode=1000")
@@ -150,11 +150,11 @@
 func TestReadsSucceedWithOneFaultyServer(t *testing.T) {
 	tests := map[string]standin.Faults{
 		"shed":           {Shed: true},
-		"truncated":      {Spoil: func(*http.Request) standin.Answer { return standin.Cut }},
-		"without length": {Spoil: func(*http.Request) standin.Answer { return standin.Unframed }},
-		"other send ID":  {Spoil: func(*http.Request) standin.Answer { return standin.Foreign }},
-		"no response":    {Slower: time.Hour},
-		"stalled":        {Spoil: func(*http.Request) standin.Answer { return standin.Stuck }},
+		"truncated":      {Response: func(*http.Request) standin.ResponseFault { return standin.Truncated }},
+		"without length": {Response: func(*http.Request) standin.ResponseFault { return standin.Unframed }},
+		"other send ID":  {Response: func(*http.Request) standin.ResponseFault { return standin.WrongSendID }},
+		"no response":    {ExtraTime: time.Hour},
+		"stalled":        {Response: func(*http.Request) standin.ResponseFault { return standin.Stalled }},
 	}
 	for name, f := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newPipeCluster(t, 3, 1)
-		c.faults(standin.Faults{Slower: 900 * time.Millisecond})
+		c.faults(standin.Faults{ExtraTime: 900 * time.Millisecond})
 		got := c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r1", result.HeaderDeadline, "1000")
 		is.Equal(got.code, result.Served)
 		is.Equal(got.body, "r1 server-1 0\n")
@@ -196,7 +196,7 @@
 func TestWritesAreNotRetried(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, 1)
-	c.servers[0].SetFaults(standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Cut }})
+	c.servers[0].SetFaults(standin.Faults{Response: func(*http.Request) standin.ResponseFault { return standin.Truncated }})
 	got := c.do(c.entries[0], "POST", "/s/registry/a", "x", result.HeaderRequestID, "r1")
 	is.Equal(c.ran("r1"), 1)
 	is.Equal(got.code, result.AnswerCut)
@@ -208,9 +208,9 @@
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
 	// The server crashes while a response too large to be buffered is forwarded.
-	c.faults(standin.Faults{Spoil: func(*http.Request) standin.Answer {
+	c.faults(standin.Faults{Response: func(*http.Request) standin.ResponseFault {
 		time.AfterFunc(50*time.Millisecond, func() { c.servers[0].Close() })
-		return standin.Whole
+		return standin.Intact
 	}})
 	resp, err := http.Get(c.entries[0].http.URL + "/s/registry/a?size=1073741824")
 	is.NoErr(err)
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -59,7 +59,7 @@
 // TestAtMostOnceRetryAfterFault retries at the other entry after a fault of the
 // server or of the entry that issued the ticket.
 func TestAtMostOnceRetryAfterFault(t *testing.T) {
-	truncated := standin.Faults{Spoil: func(*http.Request) standin.Answer { return standin.Cut }}
+	truncated := standin.Faults{Response: func(*http.Request) standin.ResponseFault { return standin.Truncated }}
 	tests := map[string]struct {
 		faults standin.Faults
 		fault  func(c *cluster)
--- a/internal/entry/overload_test.go
+++ b/internal/entry/overload_test.go
@@ -33,11 +33,11 @@
 	var sends atomic.Int64
 	tests := map[string]standin.Faults{
 		"healthy": {},
-		"every 50th response is truncated": {Spoil: func(*http.Request) standin.Answer {
+		"every 50th response is truncated": {Response: func(*http.Request) standin.ResponseFault {
 			if sends.Add(1)%50 == 0 {
-				return standin.Cut
+				return standin.Truncated
 			}
-			return standin.Whole
+			return standin.Intact
 		}},
 	}
 	for name, f := range tests {
@@ -71,7 +71,7 @@
 	}
 	a.Configure([]*service.File{c.file})
 	c.entries[0].Admitter, c.entries[0].Budget = a, new(entry.Budgets)
-	faults.Slower = work
+	faults.ExtraTime = work
 	c.faults(faults)
 
 	all := sendAll(c, capacity, before, minute, after)
--- a/internal/standin/backend/answer.go
+++ b/internal/standin/backend/answer.go
@@ -15,9 +15,9 @@
 // answer answers a request that ran. The query parameter "size" adds that many
 // bytes to the body, and "status" sets the status. Trailers of the request are
 // echoed.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, body int64, how Answer) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, body int64, how ResponseFault) {
 	text := s.text(r, body)
-	if how != Whole {
+	if how != Intact {
 		s.sendMalformed(w, r, text, how)
 		return
 	}
@@ -41,27 +41,27 @@
 }
 
 // sendMalformed takes over the connection and answers with a fault.
-func (s *Server) sendMalformed(w http.ResponseWriter, r *http.Request, text string, how Answer) {
+func (s *Server) sendMalformed(w http.ResponseWriter, r *http.Request, text string, how ResponseFault) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	send := r.Header.Get(result.HeaderSend)
 	switch how {
-	case Cut, Stuck:
+	case Truncated, Stalled:
 		writeAnswer(buf.Writer, send, text, len(text)+1)
-	case Long:
+	case Overlong:
 		writeAnswer(buf.Writer, send, text+text, len(text))
 	case Duplicate:
 		writeAnswer(buf.Writer, send, text, len(text))
 		writeAnswer(buf.Writer, send, text, len(text))
 	case Unframed:
 		writeAnswer(buf.Writer, send, text, -1)
-	case Foreign:
+	case WrongSendID:
 		writeAnswer(buf.Writer, send+"x", strings.ToUpper(text), len(text))
 	}
 	_ = buf.Flush()
-	if how == Cut || how == Unframed || how == Nothing {
+	if how == Truncated || how == Unframed || how == NoAnswer {
 		_ = c.Close()
 		return
 	}
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -18,30 +18,30 @@
 
 // Ways to answer a request; all but Whole are malformed or missing answers.
 const (
-	// Whole sends a correct answer. It is the zero Answer.
-	Whole Answer = iota
-	// Cut closes the connection before the end of the body that
+	// Intact sends a correct answer. It is the zero Answer.
+	Intact ResponseFault = iota
+	// Truncated closes the connection before the end of the body that
 	// Content-Length announces.
-	Cut
-	// Long sends a longer body than Content-Length announces.
-	Long
+	Truncated
+	// Overlong sends a longer body than Content-Length announces.
+	Overlong
 	// Duplicate sends the complete answer twice.
 	Duplicate
 	// Unframed sends no Content-Length and closes the connection after the
 	// body.
 	Unframed
-	// Foreign sends an answer with the id of another send.
-	Foreign
-	// Stuck stops before the end of the body that Content-Length announces and
+	// WrongSendID sends an answer with the id of another send.
+	WrongSendID
+	// Stalled stops before the end of the body that Content-Length announces and
 	// keeps the connection open.
-	Stuck
-	// Nothing closes the connection without an answer.
-	Nothing
+	Stalled
+	// NoAnswer closes the connection without an answer.
+	NoAnswer
 )
 
 type (
-	// Answer is a way to answer a request that ran.
-	Answer uint8
+	// ResponseFault is a way to answer a request that ran.
+	ResponseFault uint8
 
 	// Load is the answer of the load endpoint.
 	Load struct {
@@ -59,22 +59,22 @@
 		Shed bool
 		// Crash selects requests that crash the server.
 		Crash func(*http.Request) bool
-		// Spoil selects how a request is answered; nil means Whole.
-		Spoil func(*http.Request) Answer
+		// Response selects how a request is answered; nil means Whole.
+		Response func(*http.Request) ResponseFault
 		// Health overrides the status of the health endpoint; 0 means the real
 		// status.
 		Health int
 		// Load overrides the answer of the load endpoint; nil means the real
 		// load.
 		Load *Load
-		// Slower is added to the running time of each request.
-		Slower time.Duration
+		// ExtraTime is added to the running time of each request.
+		ExtraTime time.Duration
 	}
 
 	// Record counts what happened at a server.
 	Record struct {
-		// Begun counts the requests whose header was received, by request id.
-		Begun map[string]int
+		// Started counts the requests whose header was received, by request id.
+		Started map[string]int
 		// Ran counts the requests that ran, by request id. A request counts as
 		// run once its complete body has been received.
 		Ran map[string]int
@@ -102,12 +102,12 @@
 		Slots int
 		// Connections is the limit on open connections; 0 means no limit.
 		Connections int
-		// Service maps path prefixes to the running time of requests; the
+		// RunningTime maps path prefixes to the running time of requests; the
 		// longest prefix applies.
-		Service map[string]time.Duration
-		// Cold is the time after the start during which the server is cold:
+		RunningTime map[string]time.Duration
+		// ColdTime is the time after the start during which the server is cold:
 		// running times are multiplied by ColdFactor.
-		Cold time.Duration
+		ColdTime time.Duration
 		// ColdFactor is the factor of running times on a cold server; 0 means
 		// no effect.
 		ColdFactor float64
@@ -175,9 +175,9 @@
 	s.faults = f
 }
 
-// Silence permanently stalls every nth of the open connections, in the order in
+// StallConnections permanently stalls every nth of the open connections, in the order in
 // which they were accepted; 1 stalls all of them. Later connections work.
-func (s *Server) Silence(nth int) {
+func (s *Server) StallConnections(nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -192,9 +192,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rec := s.record
-	rec.Begun, rec.Ran = map[string]int{}, map[string]int{}
-	for k, v := range s.record.Begun {
-		rec.Begun[k] = v
+	rec.Started, rec.Ran = map[string]int{}, map[string]int{}
+	for k, v := range s.record.Started {
+		rec.Started[k] = v
 	}
 	for k, v := range s.record.Ran {
 		rec.Ran[k] = v
@@ -264,12 +264,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.recordRun(r)
-	if !sleep(r.Context(), s.serviceTime(r.URL.Path)+faults.Slower) {
+	if !sleep(r.Context(), s.serviceTime(r.URL.Path)+faults.ExtraTime) {
 		panic(http.ErrAbortHandler)
 	}
-	answer := Whole
-	if faults.Spoil != nil {
-		answer = faults.Spoil(r)
+	answer := Intact
+	if faults.Response != nil {
+		answer = faults.Response(r)
 	}
 	s.answer(w, r, body, answer)
 }
@@ -277,10 +277,10 @@
 func (s *Server) begin(r *http.Request) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.record.Begun == nil {
-		s.record.Begun, s.record.Ran = map[string]int{}, map[string]int{}
+	if s.record.Started == nil {
+		s.record.Started, s.record.Ran = map[string]int{}, map[string]int{}
 	}
-	s.record.Begun[r.Header.Get(result.HeaderRequestID)]++
+	s.record.Started[r.Header.Get(result.HeaderRequestID)]++
 	over := s.Slots > 0 && s.running >= s.Slots
 	if s.faults.Shed || over && s.ShedAboveSlots {
 		s.record.Shed++
@@ -315,14 +315,14 @@
 
 func (s *Server) serviceTime(path string) time.Duration {
 	longest, d := -1, time.Duration(0)
-	for prefix, v := range s.Service {
+	for prefix, v := range s.RunningTime {
 		if len(prefix) > longest && strings.HasPrefix(path, prefix) {
 			longest, d = len(prefix), v
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ColdFactor > 0 && time.Since(s.started) < s.Cold {
+	if s.ColdFactor > 0 && time.Since(s.started) < s.ColdTime {
 		d = time.Duration(float64(d) * s.ColdFactor)
 	}
 	return d
--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -69,7 +69,7 @@
 	case "PUT ":
 		setFaults(w, r, s)
 	case "PUT silence":
-		s.Silence(1)
+		s.StallConnections(1)
 		w.WriteHeader(http.StatusNoContent)
 	case "PUT stop":
 		if err := s.Close(); err != nil {
@@ -108,7 +108,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, Slower: faults.Slower.Std()}
+	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, ExtraTime: faults.Slower.Std()}
 	if faults.CrashPath != "" {
 		to.Crash = func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, faults.CrashPath) }
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -142,7 +142,7 @@
 }
 
 func (f *Fleet) startServer(file *service.File, s *service.Server) error {
-	server := &backend.Server{Name: s.Name, Slots: s.Slots, Connections: s.Connections, Service: runningTimes(file)}
+	server := &backend.Server{Name: s.Name, Slots: s.Slots, Connections: s.Connections, RunningTime: runningTimes(file)}
 	address := s.Address
 	if f.Ephemeral {
 		address = netip.AddrPortFrom(address.Addr(), 0)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -158,7 +158,7 @@
 
 func (r *run) setServerDelay(by time.Duration) {
 	for i := range r.uploadService.Servers {
-		r.system.fleet.Server(r.uploadService.Service, r.uploadService.Servers[i].Name).SetFaults(backend.Faults{Slower: by})
+		r.system.fleet.Server(r.uploadService.Service, r.uploadService.Servers[i].Name).SetFaults(backend.Faults{ExtraTime: by})
 	}
 }
 
--- a/internal/trial/stops.go
+++ b/internal/trial/stops.go
@@ -77,7 +77,7 @@
 	}
 	sleep(ctx, time.Until(start.Add(gracePeriod)))
 	standin := r.system.fleet.Server(t.Service, t.Server)
-	before := standin.Record().Begun
+	before := standin.Record().Started
 	r.awaitIdle(ctx, standin, start)
 	e := <-ended
 	r.waitUntil(ctx, loadDuration)
@@ -95,7 +95,7 @@
 	for {
 		for i := range r.uploadService.Servers {
 			name := r.uploadService.Servers[i].Name
-			started := r.system.fleet.Server(r.uploadService.Service, name).Record().Begun
+			started := r.system.fleet.Server(r.uploadService.Service, name).Record().Started
 			for n := range uploadAttempts {
 				if started[fmt.Sprintf("%s.%d", upload, n+1)] > 0 {
 					return name, nil
@@ -130,7 +130,7 @@
 	defer r.mu.Unlock()
 	r.report.Drain.Service, r.report.Drain.Server = t.Service, t.Server
 	r.observed.LateChecked = true
-	for attempt, count := range standin.Record().Begun {
+	for attempt, count := range standin.Record().Started {
 		if count > before[attempt] {
 			r.observed.LateRequests = append(r.observed.LateRequests, attempt)
 		}
