--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -163,7 +163,7 @@
 					}
 					return platform.Fault{Delay: unit.Duration(40 * time.Millisecond)}
 				})
-				w.net.SetHook(func(peers.Message) peers.Fate { return peers.Fate{Delay: 20 * time.Millisecond} })
+				w.net.SetHook(func(peers.Message) peers.Delivery { return peers.Delivery{Delay: 20 * time.Millisecond} })
 				w.publish(1)
 				w.startAll()
 				time.Sleep(time.Minute)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -110,8 +110,8 @@
 func TestMessageLossAndShortPausesMarkNoEntryDown(t *testing.T) {
 	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		r, pick := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(1, 2))
-		f.network.SetHook(func(peers.Message) peers.Fate {
-			return peers.Fate{Lost: r.IntN(10) == 0, AnswerLost: r.IntN(10) == 0, Delay: 12 * time.Millisecond}
+		f.network.SetHook(func(peers.Message) peers.Delivery {
+			return peers.Delivery{Lost: r.IntN(10) == 0, AnswerLost: r.IntN(10) == 0, Delay: 12 * time.Millisecond}
 		})
 		for begun := time.Now(); time.Since(begun) < 40*time.Second; {
 			i := pick.IntN(entries)
@@ -132,8 +132,8 @@
 func TestStoppedEntryIsDownEverywhereWithin3Seconds(t *testing.T) {
 	runFleet(t, func(is *is.I, ctx context.Context, f *fleet) {
 		r, wait := rand.New(rand.NewPCG(2, 1)), rand.New(rand.NewPCG(2, 2))
-		f.network.SetHook(func(peers.Message) peers.Fate {
-			return peers.Fate{Lost: r.IntN(5) == 0, Delay: 12 * time.Millisecond}
+		f.network.SetHook(func(peers.Message) peers.Delivery {
+			return peers.Delivery{Lost: r.IntN(5) == 0, Delay: 12 * time.Millisecond}
 		})
 		for round := range 4 {
 			time.Sleep(time.Duration(wait.Int64N(int64(time.Second))))
@@ -164,8 +164,8 @@
 func TestOneWayLossBetweenTwoEntriesKeepsBothLive(t *testing.T) {
 	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		// entry-2 receives nothing from entry-1; entry-1 receives from entry-2.
-		f.network.SetHook(func(m peers.Message) peers.Fate {
-			return peers.Fate{Lost: m.From == name(0) && m.To == name(1), AnswerLost: m.From == name(1) && m.To == name(0)}
+		f.network.SetHook(func(m peers.Message) peers.Delivery {
+			return peers.Delivery{Lost: m.From == name(0) && m.To == name(1), AnswerLost: m.From == name(1) && m.To == name(0)}
 		})
 		time.Sleep(20 * time.Second)
 		is.Equal(f.count(lookup.Live, all), entries*(entries-1)) // relayed reports keep both live
@@ -183,7 +183,7 @@
 func TestPartitionMarksOtherSideDown(t *testing.T) {
 	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		side := func(i id.Instance) bool { return i <= name(2) }
-		f.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: side(m.From) != side(m.To)} })
+		f.network.SetHook(func(m peers.Message) peers.Delivery { return peers.Delivery{Lost: side(m.From) != side(m.To)} })
 		time.Sleep(20 * time.Second)
 		across := func(a, b int) bool { return side(name(a)) != side(name(b)) }
 		within := func(a, b int) bool { return !across(a, b) }
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -72,16 +72,16 @@
 // every entry has stopped sending new requests to the server, while the store
 // is down.
 func TestNoticeReachesEveryEntryWithin3Seconds(t *testing.T) {
-	tests := map[string]func(peers.Message) peers.Fate{
+	tests := map[string]func(peers.Message) peers.Delivery{
 		"no fault": nil,
-		"slow network": func(peers.Message) peers.Fate {
-			return peers.Fate{Delay: 400 * time.Millisecond}
+		"slow network": func(peers.Message) peers.Delivery {
+			return peers.Delivery{Delay: 400 * time.Millisecond}
 		},
-		"responses to the author are lost": func(m peers.Message) peers.Fate {
-			return peers.Fate{AnswerLost: m.From == "entry-0"}
+		"responses to the author are lost": func(m peers.Message) peers.Delivery {
+			return peers.Delivery{AnswerLost: m.From == "entry-0"}
 		},
-		"author can't reach one entry": func(m peers.Message) peers.Fate {
-			return peers.Fate{Lost: m.From == "entry-0" && m.To == "entry-3"}
+		"author can't reach one entry": func(m peers.Message) peers.Delivery {
+			return peers.Delivery{Lost: m.From == "entry-0" && m.To == "entry-3"}
 		},
 	}
 	for name, hook := range tests {
@@ -136,7 +136,7 @@
 		defer cancel()
 		c := start(ctx, 4, 0)
 		side := func(i id.Instance) bool { return i < "entry-2" }
-		c.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: side(m.From) != side(m.To)} })
+		c.network.SetHook(func(m peers.Message) peers.Delivery { return peers.Delivery{Lost: side(m.From) != side(m.To)} })
 		c.exchanges[0].Post(ctx, server, true)
 		time.Sleep(time.Minute)
 		c.exchanges[1].Post(ctx, server, false)
@@ -240,7 +240,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		c := start(ctx, 2, time.Second)
-		c.network.SetHook(func(m peers.Message) peers.Fate { return peers.Fate{Lost: m.From == "entry-1"} })
+		c.network.SetHook(func(m peers.Message) peers.Delivery { return peers.Delivery{Lost: m.From == "entry-1"} })
 		c.exchanges[0].Table.Set(server, true, time.Now(), "entry-0")
 		time.Sleep(5 * time.Second)
 		is.True(c.agree(true))
--- a/internal/standin/peers/network.go
+++ b/internal/standin/peers/network.go
@@ -25,9 +25,9 @@
 		Size int
 	}
 
-	// Fate describes how a message is delivered. The zero value delivers the
+	// Delivery describes how a message is delivered. The zero value delivers the
 	// message and its answer without delay.
-	Fate struct {
+	Delivery struct {
 		// Lost drops the message.
 		Lost bool
 		// AnswerLost drops the answer.
@@ -41,7 +41,7 @@
 	Network struct {
 		mu    sync.Mutex
 		nodes map[id.Instance]*Node
-		hook  func(Message) Fate
+		hook  func(Message) Delivery
 		calls int
 		bytes int
 	}
@@ -79,7 +79,7 @@
 
 // SetHook sets the hook that determines the delivery of each message; nil delivers
 // all. The hook is called with the network locked and must not use the network.
-func (n *Network) SetHook(hook func(Message) Fate) {
+func (n *Network) SetHook(hook func(Message) Delivery) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hook = hook
@@ -148,7 +148,7 @@
 
 // transfer blocks while the node is paused and for the delay of the message; a lost
 // message blocks until ctx ends.
-func (n *Node) transfer(ctx context.Context, delivery Fate) error {
+func (n *Node) transfer(ctx context.Context, delivery Delivery) error {
 	if err := n.network.wait(ctx, n); err != nil {
 		return err
 	}
@@ -168,12 +168,12 @@
 }
 
 // admit counts a message and asks the hook for its delivery.
-func (n *Network) admit(m Message) (Fate, error) {
+func (n *Network) admit(m Message) (Delivery, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls++
 	n.bytes += m.Size
-	var delivery Fate
+	var delivery Delivery
 	if n.hook != nil {
 		delivery = n.hook(m)
 	}
