--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -25,8 +25,8 @@
 	return slices.Concat(lookupMeasures(), requestMeasures(), membershipMeasures(), slotMeasures(), configurationMeasures(), replicaMeasures(), noticeMeasures(), peerMeasures())
 }
 
-// Measured runs a measure and fits a line to its points.
-func Measured(m Measure) (Result, error) {
+// Run runs a measure and fits a line to its points.
+func Run(m Measure) (Result, error) {
 	s, err := m.Series()
 	if err != nil {
 		return Result{}, err
@@ -44,8 +44,8 @@
 		r.Role, r.Quantity, r.Size, r.Line.Intercept, r.Line.Slope, r.Line.R2, r.Line.Residual*100, r.Target, r.AtTarget)
 }
 
-// Header writes the header of the Markdown table of results.
-func Header(w io.Writer) {
+// PrintHeader writes the header of the Markdown table of results.
+func PrintHeader(w io.Writer) {
 	fmt.Fprintln(w, "| role | quantity | size | at 0 | for one more | R2 | residual | target | at target |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -19,7 +19,7 @@
 
 func TestMeasuredExtrapolatesToTarget(t *testing.T) {
 	is := is.New(t)
-	r, err := capacity.Measured(capacity.Measure{
+	r, err := capacity.Run(capacity.Measure{
 		Role: "r", Quantity: "q", Size: "s", Sizes: []int{1, 2, 3, 4, 5}, Target: 1000,
 		Run: func(n int) (float64, error) { return float64(3*n + 1), nil },
 	})
@@ -32,7 +32,7 @@
 	for _, m := range capacity.Measures() {
 		b.Run(m.Role+"/"+m.Quantity, func(b *testing.B) {
 			for b.Loop() {
-				r, err := capacity.Measured(m)
+				r, err := capacity.Run(m)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/cli/slopes.go
+++ b/internal/cli/slopes.go
@@ -20,7 +20,7 @@
 }
 
 func (s *slopesResult) text(w io.Writer) error {
-	capacity.Header(w)
+	capacity.PrintHeader(w)
 	for _, r := range s.Results {
 		r.Print(w)
 	}
@@ -49,7 +49,7 @@
 					return ctx.Err()
 				}
 				a.progressf("%s: %s", m.Role, m.Quantity)
-				r, err := capacity.Measured(m)
+				r, err := capacity.Run(m)
 				if err != nil {
 					return err
 				}
