--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -51,8 +51,8 @@
 			var c checkResult
 			for _, f := range files {
 				c.Files = append(c.Files, checkedFile{
-					Path: f.Path, Service: f.File.Service, Classes: len(f.File.Classes),
-					Servers: len(f.File.Servers), Slots: f.File.Slots(),
+					Path: f.Path, Service: f.Parsed.Service, Classes: len(f.Parsed.Classes),
+					Servers: len(f.Parsed.Servers), Slots: f.Parsed.Slots(),
 				})
 			}
 			return a.show(&c)
@@ -66,11 +66,11 @@
 
 // collectFiles reads the service files named by the operands. If a deployment is
 // given, every zone and region in them must be part of it.
-func collectFiles(cmd *urfave.Command) ([]collect.Found, error) {
+func collectFiles(cmd *urfave.Command) ([]collect.File, error) {
 	if cmd.Args().Len() == 0 {
 		return nil, usagef("name the folders or files to read")
 	}
-	files, err := collect.Files(cmd.Args().Slice()...)
+	files, err := collect.Read(cmd.Args().Slice()...)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 	return deployment.Parse(path, data)
 }
 
-func checkLocations(f collect.Found, dep *deployment.Deployment) error {
+func checkLocations(f collect.File, dep *deployment.Deployment) error {
 	problem := func(key string, item int, text string) error {
 		p := &service.FileError{Key: key, Item: item, Code: result.ImpossibleValue, Text: text}
 		return p.Locate(f.Path, f.Data)
@@ -107,12 +107,12 @@
 	for _, r := range dep.Regions {
 		regions[r.Name] = true
 	}
-	for i, r := range f.File.Regions {
+	for i, r := range f.Parsed.Regions {
 		if !regions[r.Name] {
 			return problem("regions.name", i, fmt.Sprintf("%q is not in deployment %s", r.Name, dep.Name))
 		}
 	}
-	for i, s := range f.File.Servers {
+	for i, s := range f.Parsed.Servers {
 		if _, ok := dep.Region(s.Zone); !ok {
 			return problem("servers.zone", i, fmt.Sprintf("%q of backend server %s is not in deployment %s", s.Zone, s.Name, dep.Name))
 		}
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -123,7 +123,7 @@
 			return s, err
 		}
 		for _, f := range files {
-			s.Files = append(s.Files, *f.File)
+			s.Files = append(s.Files, *f.Parsed)
 		}
 	}
 	dep, err := readDeployment(cmd.String("deployment"))
--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -21,24 +21,24 @@
 	fileSuffix = "." + fileName
 )
 
-// Found is a service file that was found, with its path.
-type Found struct {
+// File is a service file that was found, with its path.
+type File struct {
 	// Path is the path of the file.
 	Path string
 	// Data is its content, from which errors found later get their line.
 	Data []byte
-	// File is its validated content.
-	File *service.File
+	// Parsed is its validated content.
+	Parsed *service.File
 }
 
-// Files reads the service files at the paths. A path is a file of any name, or a
+// Read reads the service files at the paths. A path is a file of any name, or a
 // directory, which is searched recursively except for hidden directories below
 // it. The error joins a *service.FileError for each invalid file, and one for
 // each file whose service an earlier file has defined. It is also a
 // *service.FileError if no file is found.
-func Files(paths ...string) ([]Found, error) {
+func Read(paths ...string) ([]File, error) {
 	var (
-		found []Found
+		found []File
 		errs  []error
 	)
 	seen := map[id.Service]string{}
@@ -48,7 +48,7 @@
 			errs = append(errs, err)
 			continue
 		}
-		name := each.File.Service
+		name := each.Parsed.Service
 		if other, ok := seen[name]; ok {
 			p := &service.FileError{Key: "service", Code: result.ImpossibleValue, Text: fmt.Sprintf("%s already defines the service %q", other, name)}
 			errs = append(errs, p.Locate(path, each.Data))
@@ -92,11 +92,11 @@
 	return all
 }
 
-func read(path string) (Found, error) {
+func read(path string) (File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Found{}, &service.FileError{File: path, Code: result.UnreadableFile, Text: err.Error()}
+		return File{}, &service.FileError{File: path, Code: result.UnreadableFile, Text: err.Error()}
 	}
 	file, err := service.Parse(path, data)
-	return Found{Path: path, Data: data, File: file}, err
+	return File{Path: path, Data: data, Parsed: file}, err
 }
--- a/internal/collect/collect_test.go
+++ b/internal/collect/collect_test.go
@@ -42,7 +42,7 @@
 				is.NoErr(os.MkdirAll(filepath.Dir(path), 0o755))
 				is.NoErr(os.WriteFile(path, []byte(content), 0o600))
 			}
-			found, err := collect.Files(tt.args...)
+			found, err := collect.Read(tt.args...)
 			var paths []string
 			for _, f := range found {
 				paths = append(paths, f.Path)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -71,13 +71,13 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := collect.Files(filepath.Join(folder, "services"))
+	files, err := collect.Read(filepath.Join(folder, "services"))
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{World: spec}
 	for _, each := range files {
-		f.Files = append(f.Files, each.File)
+		f.Files = append(f.Files, each.Parsed)
 	}
 	return f, nil
 }
