--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -126,9 +126,9 @@
 	return a.show((*requestTrace)(s))
 }
 
-type requestTrace logread.Story
+type requestTrace logread.Trace
 
-func (s *requestTrace) text(w io.Writer) error { return (*logread.Story)(s).WriteText(w) }
+func (s *requestTrace) text(w io.Writer) error { return (*logread.Trace)(s).WriteText(w) }
 
 func (s *platformStatus) text(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0)
--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -49,8 +49,8 @@
 		fields map[string]string
 	}
 
-	// Story is what a log contains about a request.
-	Story struct {
+	// Trace is what a log contains about a request.
+	Trace struct {
 		// Request is the request's id.
 		Request string `json:"request"`
 		// Code is its result code.
@@ -138,8 +138,8 @@
 
 // Find extracts the lines about a request from a log. It returns an error if there
 // are none, or if the log can't be read.
-func Find(log io.Reader, request string) (*Story, error) {
-	s := &Story{Request: request}
+func Find(log io.Reader, request string) (*Trace, error) {
+	s := &Trace{Request: request}
 	var others []Line
 	servers := make(map[string]bool)
 	scanner := bufio.NewScanner(log)
@@ -173,7 +173,7 @@
 }
 
 // explain derives Code and Meaning from the final line of the request.
-func (s *Story) explain() {
+func (s *Trace) explain() {
 	i := slices.IndexFunc(s.Lines, func(l Line) bool { return l.Message == "request" })
 	if i < 0 {
 		s.Meaning = []string{"the final line of the request is missing: the request was in progress when the log ended, or the line was dropped"}
@@ -201,7 +201,7 @@
 }
 
 // WriteText writes the story as text for operators.
-func (s *Story) WriteText(w io.Writer) error {
+func (s *Trace) WriteText(w io.Writer) error {
 	lines := []string{"request " + s.Request}
 	for _, m := range s.Meaning {
 		lines = append(lines, "  "+m)
