--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -31,7 +31,7 @@
 		return missing("zone")
 	case s.Region == "":
 		return missing("region")
-	case s.Deployment == "":
+	case s.DeploymentFile == "":
 		return missing("deployment")
 	case !s.Platform.Store.IsValid():
 		return missing("platform.store")
@@ -94,17 +94,17 @@
 	entry := s.Entry()
 	switch {
 	case !ok:
-		return impossible("zone", "%q is not a zone of the deployment file %s", s.Zone, s.Deployment)
+		return impossible("zone", "%q is not a zone of the deployment file %s", s.Zone, s.DeploymentFile)
 	case region != s.Region:
-		return impossible("region", "%q must be %q, the region of zone %q in the deployment file %s", s.Region, region, s.Zone, s.Deployment)
+		return impossible("region", "%q must be %q, the region of zone %q in the deployment file %s", s.Region, region, s.Zone, s.DeploymentFile)
 	case entry == nil:
-		return impossible("instance", "%q is not an entry of the deployment file %s", s.Instance, s.Deployment)
+		return impossible("instance", "%q is not an entry of the deployment file %s", s.Instance, s.DeploymentFile)
 	case entry.Zone != s.Zone:
-		return impossible("zone", "%q must be %q, the zone of entry %q in the deployment file %s", s.Zone, entry.Zone, s.Instance, s.Deployment)
+		return impossible("zone", "%q must be %q, the zone of entry %q in the deployment file %s", s.Zone, entry.Zone, s.Instance, s.DeploymentFile)
 	case entry.Caller != s.Listeners.Caller:
-		return impossible("listeners.caller", "%s must be %s, the caller address of entry %q in the deployment file %s", s.Listeners.Caller, entry.Caller, s.Instance, s.Deployment)
+		return impossible("listeners.caller", "%s must be %s, the caller address of entry %q in the deployment file %s", s.Listeners.Caller, entry.Caller, s.Instance, s.DeploymentFile)
 	case entry.Peer != s.Listeners.Peer:
-		return impossible("listeners.peer", "%s must be %s, the peer address of entry %q in the deployment file %s", s.Listeners.Peer, entry.Peer, s.Instance, s.Deployment)
+		return impossible("listeners.peer", "%s must be %s, the peer address of entry %q in the deployment file %s", s.Listeners.Peer, entry.Peer, s.Instance, s.DeploymentFile)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,9 +33,9 @@
 		Zone id.Zone `toml:"zone"`
 		// Region is the region of the zone.
 		Region id.Region `toml:"region"`
-		// Deployment is the path of the deployment file, relative to the
+		// DeploymentFile is the path of the deployment file, relative to the
 		// settings file.
-		Deployment string `toml:"deployment"`
+		DeploymentFile string `toml:"deployment"`
 		// Listeners holds the entry's listen addresses.
 		Listeners Listeners `toml:"listeners"`
 		// Platform holds the addresses of the platform.
@@ -112,7 +112,7 @@
 	if p := s.checkValues(); p != nil {
 		return nil, p.Locate(path, data)
 	}
-	deploymentPath := filepath.Join(filepath.Dir(path), s.Deployment)
+	deploymentPath := filepath.Join(filepath.Dir(path), s.DeploymentFile)
 	content, err := read(deploymentPath)
 	if err != nil {
 		return nil, err
