--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -74,7 +74,7 @@
 // Run runs the command in args, which start with the program's name, and returns
 // the exit code.
 func (a *App) Run(ctx context.Context, args []string) int {
-	if err := logs.Adopt(slog.New(slog.DiscardHandler)); err != nil {
+	if err := logs.RedirectLibraryLogs(slog.New(slog.DiscardHandler)); err != nil {
 		fmt.Fprintln(a.Stderr, err)
 		return ExitFailed
 	}
--- a/internal/launch/daemon.go
+++ b/internal/launch/daemon.go
@@ -48,7 +48,7 @@
 		return exitOK
 	}
 	log := logs.New(d.Stderr, s.Log).With("instance", s.Instance)
-	if err := logs.Adopt(log); err != nil {
+	if err := logs.RedirectLibraryLogs(log); err != nil {
 		fmt.Fprintln(d.Stderr, err)
 		return exitFailed
 	}
--- a/internal/launch/standin.go
+++ b/internal/launch/standin.go
@@ -49,7 +49,7 @@
 
 func (s *StandIn) run(f *fleet.Fleet) int {
 	log := logs.New(s.Stderr, settings.Log{Level: settings.Info, Format: settings.KeyValue})
-	if err := logs.Adopt(log); err != nil {
+	if err := logs.RedirectLibraryLogs(log); err != nil {
 		fmt.Fprintln(s.Stderr, err)
 		return exitFailed
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -26,11 +26,11 @@
 	return slog.New(slog.NewTextHandler(w, &options))
 }
 
-// Adopt redirects the lines of go-zero and of the standard library's log package to
+// RedirectLibraryLogs redirects the lines of go-zero and of the standard library's log package to
 // log, for the whole process. net/http logs protocol errors of connections to the
 // latter; those lines are written as warnings. Adopt must be called before any
 // go-zero server is created.
-func Adopt(log *slog.Logger) error {
+func RedirectLibraryLogs(log *slog.Logger) error {
 	if err := logx.SetUp(logx.LogConf{Mode: "console", Encoding: "plain", Level: "info"}); err != nil {
 		return eris.Wrap(err, "set up go-zero logging")
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -17,7 +17,7 @@
 func TestAdoptRedirectsGoZeroLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	is.NoErr(logs.Adopt(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
+	is.NoErr(logs.RedirectLibraryLogs(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
 	logx.Infow("route\nadded", logx.Field("path", "/a"))
 	logx.Debug("not shown")
 	is.Equal(strings.Count(out.String(), "\n"), 1) // one line per event
@@ -29,7 +29,7 @@
 func TestAdoptRedirectsStandardLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	is.NoErr(logs.Adopt(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
+	is.NoErr(logs.RedirectLibraryLogs(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
 	stdlog.Print("odd\nanswer")
 	is.Equal(strings.Count(out.String(), "\n"), 1)
 	is.True(strings.Contains(out.String(), `level=WARN msg="odd\nanswer" library=std`))
