--- a/internal/health/doc.go
+++ b/internal/health/doc.go
@@ -3,7 +3,7 @@
 //
 // There are three sources of information on a server. Its probe and its load report
 // arrive late and may be wrong. The results of the entry's own requests are newer,
-// but known at this entry alone. An [Opinion] combines the three into one decision,
+// but known at this entry alone. An [Tracker] combines the three into one decision,
 // whether to send. If they disagree, the worse one decides:
 //
 //   - Two consecutive failures (no connection, or a connection closed before the
--- a/internal/health/opinion.go
+++ b/internal/health/opinion.go
@@ -19,9 +19,9 @@
 
 // Results of a send.
 const (
-	// Nothing is a result that does not concern the server's health, as when the
+	// Neutral is a result that does not concern the server's health, as when the
 	// caller disconnected. It is the zero Event.
-	Nothing Event = iota
+	Neutral Event = iota
 	// Answered means that the server sent a complete answer.
 	Answered
 	// Shed means that the server refused the request before running it (load
@@ -29,11 +29,11 @@
 	Shed
 	// ConnectFailed means that no connection could be established.
 	ConnectFailed
-	// Cut means that the connection was closed before the complete answer.
-	Cut
-	// Silent means that a connection stalled, or that no answer arrived within the
+	// ConnectionClosed means that the connection was closed before the complete answer.
+	ConnectionClosed
+	// TimedOut means that a connection stalled, or that no answer arrived within the
 	// deadline.
-	Silent
+	TimedOut
 )
 
 const (
@@ -66,9 +66,9 @@
 		Refuses bool
 	}
 
-	// Opinion is the health of one backend server as seen by one entry. Its zero
+	// Tracker is the health of one backend server as seen by one entry. Its zero
 	// value has no information and allows a trial. It is not safe for concurrent use.
-	Opinion struct {
+	Tracker struct {
 		lastAnswer   time.Time
 		lastStall    time.Time
 		failures     int
@@ -90,16 +90,16 @@
 	case result.ConnectFailed:
 		return ConnectFailed
 	case result.AnswerCut:
-		return Cut
+		return ConnectionClosed
 	case result.ConnectionSilent, result.AnswerLate:
-		return Silent
+		return TimedOut
 	default:
-		return Nothing
+		return Neutral
 	}
 }
 
 // Observe records the result of a send.
-func (o *Opinion) Observe(now time.Time, e Event) {
+func (o *Tracker) Observe(now time.Time, e Event) {
 	onTrial := o.onTrial(now)
 	o.trialBegun = time.Time{} // another trial may begin
 	switch e {
@@ -109,36 +109,36 @@
 	case Shed:
 		o.shedPause = grow(o.shedPause, minShedPause, maxShedPause)
 		o.blockedUntil = later(o.blockedUntil, now.Add(o.shedPause))
-	case ConnectFailed, Cut:
+	case ConnectFailed, ConnectionClosed:
 		o.failures++
 		if o.failures >= maxFailures || onTrial {
 			o.ejected = true
 			o.backoff = grow(o.backoff, minBackoff, maxBackoff)
 			o.blockedUntil = later(o.blockedUntil, now.Add(o.backoff))
 		}
-	case Silent:
+	case TimedOut:
 		o.lastStall = now
 	}
 }
 
 // Reached records that the server accepted a connection after failures: it may be
 // tried at once.
-func (o *Opinion) Reached(now time.Time) {
+func (o *Tracker) Reached(now time.Time) {
 	if o.blockedUntil.After(now) {
 		o.blockedUntil = now
 	}
 	o.backoff = 0
 }
 
-// Out reports whether failures ejected the server and no answer arrived since.
-func (o *Opinion) Out() bool { return o.ejected }
+// Ejected reports whether failures ejected the server and no answer arrived since.
+func (o *Tracker) Ejected() bool { return o.ejected }
 
 // BeginTrial records that a request is sent under the verdict Trial.
-func (o *Opinion) BeginTrial(now time.Time) { o.trialBegun = now }
+func (o *Tracker) BeginTrial(now time.Time) { o.trialBegun = now }
 
 // MaySend returns the verdict, and for No the time after which to ask again. The
 // value of probe is whether the server answered it.
-func (o *Opinion) MaySend(now time.Time, probe measured.Value[bool], report measured.Value[Report]) (v Verdict, retryAfter time.Duration) {
+func (o *Tracker) MaySend(now time.Time, probe measured.Value[bool], report measured.Value[Report]) (v Verdict, retryAfter time.Duration) {
 	switch {
 	case now.Before(o.blockedUntil):
 		return No, o.blockedUntil.Sub(now)
@@ -153,19 +153,19 @@
 	}
 }
 
-func (o *Opinion) onTrial(now time.Time) bool {
+func (o *Tracker) onTrial(now time.Time) bool {
 	return !o.trialBegun.IsZero() && now.Sub(o.trialBegun) < trialTimeout
 }
 
 // Unproven reports whether no source contradicts the server's health, so that the
 // verdict Trial is only due to a lack of fresh information.
-func (o *Opinion) Unproven(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
+func (o *Tracker) Unproven(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
 	return !o.ejected && !now.Before(o.blockedUntil) && !refuses(now, report) && !o.suspect(now, probe)
 }
 
 // doubtful reports whether the newest information on the server is negative, or none
 // of it is fresh.
-func (o *Opinion) doubtful(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
+func (o *Tracker) doubtful(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
 	if o.suspect(now, probe) {
 		return true
 	}
@@ -176,7 +176,7 @@
 
 // suspect reports whether a connection stalled or a probe failed after the last
 // answer.
-func (o *Opinion) suspect(now time.Time, probe measured.Value[bool]) bool {
+func (o *Tracker) suspect(now time.Time, probe measured.Value[bool]) bool {
 	if o.lastAnswer.Before(o.lastStall) {
 		return true
 	}
--- a/internal/health/opinion_test.go
+++ b/internal/health/opinion_test.go
@@ -55,7 +55,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var o health.Opinion
+			var o health.Tracker
 			if tt.answered > 0 {
 				o.Observe(start.Add(-tt.answered), health.Answered)
 			}
@@ -71,21 +71,21 @@
 		want   health.Verdict
 	}{
 		"one failure":               {[]health.Event{health.ConnectFailed}, health.Yes},
-		"two failures":              {[]health.Event{health.ConnectFailed, health.Cut}, health.No},
-		"failures around an answer": {[]health.Event{health.Cut, health.Answered, health.Cut}, health.Yes},
+		"two failures":              {[]health.Event{health.ConnectFailed, health.ConnectionClosed}, health.No},
+		"failures around an answer": {[]health.Event{health.ConnectionClosed, health.Answered, health.ConnectionClosed}, health.Yes},
 		"shed":                      {[]health.Event{health.Shed}, health.No},
 		"shed and then an answer":   {[]health.Event{health.Shed, health.Answered}, health.No}, // the answer is to an earlier request
-		"stalled":                   {[]health.Event{health.Silent}, health.Trial},
-		"stalled, then answered":    {[]health.Event{health.Silent, health.Answered}, health.Yes},
-		"caller disconnected":       {[]health.Event{health.Nothing}, health.Yes},
+		"stalled":                   {[]health.Event{health.TimedOut}, health.Trial},
+		"stalled, then answered":    {[]health.Event{health.TimedOut, health.Answered}, health.Yes},
+		"caller disconnected":       {[]health.Event{health.Neutral}, health.Yes},
 		"unknown event":             {[]health.Event{health.Event(99)}, health.Yes},
-		"two failures, late answer": {[]health.Event{health.Cut, health.Cut, health.Answered}, health.No}, // the backoff stays
-		"stalled, then no result":   {[]health.Event{health.Silent, health.Nothing}, health.Trial},
+		"two failures, late answer": {[]health.Event{health.ConnectionClosed, health.ConnectionClosed, health.Answered}, health.No}, // the backoff stays
+		"stalled, then no result":   {[]health.Event{health.TimedOut, health.Neutral}, health.Trial},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var o health.Opinion
+			var o health.Tracker
 			o.Observe(start, health.Answered)
 			now := start
 			for _, e := range tt.events {
@@ -102,7 +102,7 @@
 // its probe, and normal traffic after the first answer.
 func TestEjectedServerRecoversByTrial(t *testing.T) {
 	is := is.New(t)
-	var o health.Opinion
+	var o health.Tracker
 	now := start
 	o.Observe(now, health.ConnectFailed)
 	o.Observe(now, health.ConnectFailed)
@@ -116,7 +116,7 @@
 		o.BeginTrial(now)
 		v, _ = o.MaySend(now, measured.At(true, now), noReport)
 		is.Equal(v, health.No) // a trial is running
-		o.Observe(now, health.Cut)
+		o.Observe(now, health.ConnectionClosed)
 	}
 	now = now.Add(time.Minute)
 	o.BeginTrial(now)
@@ -131,19 +131,19 @@
 	is := is.New(t)
 	is.Equal(health.EventOf(result.ConnectFailed), health.ConnectFailed)
 	is.Equal(health.EventOf(result.ShedByServer), health.Shed)
-	is.Equal(health.EventOf(result.AnswerCut), health.Cut)
-	is.Equal(health.EventOf(result.ConnectionSilent), health.Silent)
-	is.Equal(health.EventOf(result.AnswerLate), health.Silent)
+	is.Equal(health.EventOf(result.AnswerCut), health.ConnectionClosed)
+	is.Equal(health.EventOf(result.ConnectionSilent), health.TimedOut)
+	is.Equal(health.EventOf(result.AnswerLate), health.TimedOut)
 	is.Equal(health.EventOf(result.Served), health.Answered)
 	for _, code := range []result.Code{result.CallerGone, result.DeadlinePassed, result.Quarantined, 0, -1} {
-		is.Equal(health.EventOf(code), health.Nothing)
+		is.Equal(health.EventOf(code), health.Neutral)
 	}
 }
 
 // No sequence of events ejects a server permanently.
 func TestServerIsNeverEjectedPermanently(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var o health.Opinion
+		var o health.Tracker
 		now := start
 		for range rapid.IntRange(0, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
@@ -160,7 +160,7 @@
 }
 
 func BenchmarkMaySend(b *testing.B) {
-	var o health.Opinion
+	var o health.Tracker
 	o.Observe(start, health.Answered)
 	probe := measured.At(true, start)
 	report := measured.At(health.Report{Slots: 6}, start)
@@ -173,7 +173,7 @@
 // A server on trial is ejected by a single failure.
 func TestFailedTrialEjectsServer(t *testing.T) {
 	is := is.New(t)
-	var o health.Opinion // no information: trial
+	var o health.Tracker // no information: trial
 	o.BeginTrial(start)
 	o.Observe(start, health.ConnectFailed)
 	v, _ := o.MaySend(start, measured.At(true, start), noReport)
@@ -183,11 +183,11 @@
 // A trial without a result, as when its caller disconnected, allows another trial.
 func TestTrialWithoutResultAllowsAnother(t *testing.T) {
 	is := is.New(t)
-	var o health.Opinion
+	var o health.Tracker
 	o.BeginTrial(start)
 	v, _ := o.MaySend(start, noProbe, noReport)
 	is.Equal(v, health.No)
-	o.Observe(start, health.Nothing)
+	o.Observe(start, health.Neutral)
 	v, _ = o.MaySend(start, noProbe, noReport)
 	is.Equal(v, health.Trial)
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -114,7 +114,7 @@
 		}
 		ended = true
 		e.model.after(delay, func() { cancel() })
-		m.End(e.model.now, roster.Outcome{Event: health.Silent, Latency: e.model.now.Sub(sent)})
+		m.End(e.model.now, roster.Outcome{Event: health.TimedOut, Latency: e.model.now.Sub(sent)})
 		e.timedOut(r)
 	})
 }
--- a/internal/roster/check.go
+++ b/internal/roster/check.go
@@ -76,5 +76,5 @@
 func (m *Member) Reachable() bool {
 	m.state.mu.Lock()
 	defer m.state.mu.Unlock()
-	return m.zone.ok() && (m.state.connectFailed.IsZero() || !m.state.health.Out())
+	return m.zone.ok() && (m.state.connectFailed.IsZero() || !m.state.health.Ejected())
 }
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -63,7 +63,7 @@
 	state struct {
 		mu        sync.Mutex
 		inFlight  int
-		health    health.Opinion
+		health    health.Tracker
 		record    outlier.Record
 		outlier   bool
 		coldUntil time.Time
@@ -179,7 +179,7 @@
 		if o.Latency > 0 {
 			m.baseline.answered(o.Latency, float64(o.Load.Running+o.Load.Waiting)/float64(m.Slots))
 		}
-	case o.Event == health.Silent && o.Latency > 0:
+	case o.Event == health.TimedOut && o.Latency > 0:
 		// The request waited for this long, so the server has at least as many
 		// requests as take that long.
 		if _, work := m.baseline.mean(now); work > 0 {
@@ -187,7 +187,7 @@
 		}
 	}
 	s.inFlight--
-	if o.Event == health.Answered && s.health.Out() {
+	if o.Event == health.Answered && s.health.Ejected() {
 		// An unreachable server may have been restarted and is cold again.
 		s.coldUntil = later(s.coldUntil, now.Add(m.cold.ColdTime))
 	}
@@ -200,7 +200,7 @@
 		m.zone.connectFailed(now, m.Name)
 	}
 	s.health.Observe(now, o.Event)
-	if o.Event != health.Nothing {
+	if o.Event != health.Neutral {
 		s.record.Observe(now, !o.Failed && o.Event == health.Answered, o.Times)
 	}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -231,7 +231,7 @@
 	m.Begin(start)
 	m.End(start, roster.Outcome{Event: health.Answered, Load: &roster.Load{}, Latency: 100 * time.Millisecond})
 	m.Begin(start)
-	m.End(start, roster.Outcome{Event: health.Silent, Latency: 300 * time.Millisecond})
+	m.End(start, roster.Outcome{Event: health.TimedOut, Latency: 300 * time.Millisecond})
 	is.Equal(math.Round(m.Busy(start)), 17.0) // 3 times 6 slots, minus the request that ended
 }
 
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -24,7 +24,7 @@
 	mu      sync.Mutex
 	address netip.AddrPort
 	leaving bool
-	health  health.Opinion
+	health  health.Tracker
 	ramp    ramp.Ramp
 	probe   measured.Value[bool]
 	report  measured.Value[health.Report]
@@ -83,15 +83,15 @@
 	event := health.EventOf(o.Code)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.health.Out()
+	out := s.health.Ejected()
 	s.health.Observe(now, event)
-	if out && !s.health.Out() {
+	if out && !s.health.Ejected() {
 		s.ramp.Start(now)
 	}
 	switch event {
 	case health.Answered:
 		s.answered(o.Latency)
-	case health.Nothing, health.Silent:
+	case health.Neutral, health.TimedOut:
 	default:
 		s.ramp.Refused()
 	}
