--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -411,7 +411,7 @@
 		}
 	case result.Served:
 		o.Failed = rep.Status >= http.StatusInternalServerError
-		o.Times = c.h.baseline(c.service, c.route.Kind).Compare(rep.Latency)
+		o.LatencyRatio = c.h.baseline(c.service, c.route.Kind).Compare(rep.Latency)
 	}
 	return o
 }
--- a/internal/model/entry.go
+++ b/internal/model/entry.go
@@ -139,7 +139,7 @@
 			b = &outlier.Baseline{}
 			e.baselines[r.class.Kind] = b
 		}
-		o.Times, o.Latency = b.Compare(now.Sub(sent)), now.Sub(sent)
+		o.LatencyRatio, o.Latency = b.Compare(now.Sub(sent)), now.Sub(sent)
 	}
 	m.End(now, o)
 	switch latency := now.Sub(r.arrived); {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,7 +91,7 @@
 	Config struct {
 		forward.Config
 		// Services holds the server settings of each service.
-		Services map[id.Service]roster.Service `json:"services"`
+		Services map[id.Service]roster.ServiceConfig `json:"services"`
 		// Idle is the idle timeout of callers' connections.
 		Idle time.Duration `json:"idle"`
 	}
@@ -288,7 +288,7 @@
 
 // serviceGauges registers the gauges of the configuration's services. Services are
 // few enough to be labels, unlike routes.
-func (n *Node) serviceGauges(services map[id.Service]roster.Service) {
+func (n *Node) serviceGauges(services map[id.Service]roster.ServiceConfig) {
 	for name := range services {
 		n.options.Metrics.GetOrCreateGauge(fmt.Sprintf(`shallotpier_servers{service=%q,state="usable"}`, name), func() float64 {
 			return float64(len(n.Roster.View().Members(name)))
@@ -415,8 +415,8 @@
 
 // checkConnections starts the active connection checks that are due.
 func (n *Node) checkConnections(ctx context.Context, now time.Time) {
-	for _, m := range n.Roster.Checks(now) {
-		go func() { n.Roster.Checked(time.Now(), m, n.upstream.CanConnect(ctx, m.Address)) }()
+	for _, m := range n.Roster.DueChecks(now) {
+		go func() { n.Roster.RecordCheck(time.Now(), m, n.upstream.CanConnect(ctx, m.Address)) }()
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -200,7 +200,7 @@
 	n.Roster.Put(now, roster.Server{Name: "i-1", Service: svc, Address: "127.0.0.1:1", Zone: "a-1", Slots: 6})
 	n.Roster.Put(now, roster.Server{Name: "i-2", Service: svc, Address: "127.0.0.1:2", Zone: "b-1", Slots: 6})
 	n.Roster.Put(now, roster.Server{Name: "i-3", Service: svc, Address: "127.0.0.1:3", Zone: "a-1", Slots: 6, Leaving: true})
-	n.Roster.Evacuate(now, map[id.Zone]bool{"b-1": true})
+	n.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true})
 	n.Listed()
 	mux := http.NewServeMux()
 	n.ServeOperators(mux)
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -146,7 +146,7 @@
 		followers[follow.Configuration].Adopt(p.Version, func() { n.Configure(p.Value) })
 	}
 	if p := s.EvacuatedZones; p != nil && followers[follow.EvacuatedZones] != nil {
-		followers[follow.EvacuatedZones].Adopt(p.Version, func() { n.Roster.Evacuate(now, zoneSet(p.Value)) })
+		followers[follow.EvacuatedZones].Adopt(p.Version, func() { n.Roster.SetEvacuated(now, zoneSet(p.Value)) })
 	}
 	if p := s.Servers; p != nil && followers[follow.Servers] != nil {
 		followers[follow.Servers].Adopt(p.Version, func() {
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -65,9 +65,9 @@
 	now := time.Now()
 	group := first.Store()
 	group[follow.Configuration].Adopt(4, func() { first.Configure(configOf(7, "/x/")) })
-	group[follow.EvacuatedZones].Adopt(5, func() { first.Roster.Evacuate(now, map[id.Zone]bool{"b-1": true}) })
+	group[follow.EvacuatedZones].Adopt(5, func() { first.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true}) })
 	servers := []roster.Server{
-		{Name: "i-1", Service: svc, Address: "127.0.0.1:1", Zone: "a-1", Region: "a", Slots: 6, Born: 12},
+		{Name: "i-1", Service: svc, Address: "127.0.0.1:1", Zone: "a-1", Region: "a", Slots: 6, StartedAt: 12},
 		{Name: "i-2", Service: svc, Address: "127.0.0.1:2", Zone: "b-1", Region: "b", Slots: 6},
 		{Name: "i-3", Service: svc, Address: "127.0.0.1:3", Zone: "a-1", Region: "a", Slots: 6, Leaving: true},
 	}
--- a/internal/roster/check.go
+++ b/internal/roster/check.go
@@ -7,11 +7,11 @@
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
-// Checks returns the servers that are due for an active connection check, so that no
+// DueChecks returns the servers that are due for an active connection check, so that no
 // request has to detect whether they are reachable again: servers whose last
 // connection failed, and one server at a time of each unreachable zone. The caller
-// reports the results to [Roster.Checked]. Checks is called several times a second.
-func (r *Roster) Checks(now time.Time) []*Member {
+// reports the results to [Roster.RecordCheck]. Checks is called several times a second.
+func (r *Roster) DueChecks(now time.Time) []*Member {
 	var due []*Member
 	zones := make(map[id.Zone][]*Member)
 	for _, list := range r.View().services {
@@ -32,8 +32,8 @@
 	return due
 }
 
-// Checked records whether a checked server accepted a connection.
-func (r *Roster) Checked(now time.Time, m *Member, ok bool) {
+// RecordCheck records whether a checked server accepted a connection.
+func (r *Roster) RecordCheck(now time.Time, m *Member, ok bool) {
 	m.finishCheck(now, ok)
 	if !ok {
 		m.zone.connectFailed(now, m.Name)
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -24,7 +24,7 @@
 		Seed uint64
 
 		graceEnd time.Time
-		cold     Service
+		cold     ServiceConfig
 		sharing  *sharing
 		state    *state
 		zone     *reachability
@@ -48,9 +48,9 @@
 		Reached bool
 		// Failed is set if the server refused the request or answered with an error.
 		Failed bool
-		// Times is the latency as a multiple of the baseline; 0 if it is not
+		// LatencyRatio is the latency as a multiple of the baseline; 0 if it is not
 		// meaningful.
-		Times float64
+		LatencyRatio float64
 		// Latency is the time to the answer, or the time waited without one; 0 if it
 		// is not meaningful.
 		Latency time.Duration
@@ -201,7 +201,7 @@
 	}
 	s.health.Observe(now, o.Event)
 	if o.Event != health.Neutral {
-		s.record.Observe(now, !o.Failed && o.Event == health.Answered, o.Times)
+		s.record.Observe(now, !o.Failed && o.Event == health.Answered, o.LatencyRatio)
 	}
 }
 
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -53,17 +53,17 @@
 		Region id.Region `json:"region"`
 		// Slots is the maximum number of requests that it runs concurrently.
 		Slots int `json:"slots"`
-		// Born distinguishes the starts of a server: the Unix time of the start in
+		// StartedAt distinguishes the starts of a server: the Unix time of the start in
 		// milliseconds, 0 if unknown.
-		Born int64 `json:"born"`
+		StartedAt int64 `json:"born"`
 		// Leaving is set during graceful shutdown; the server gets no new requests.
 		Leaving bool `json:"leaving"`
 		// Cold is the remaining time of its slow start, as of its registration.
 		Cold time.Duration `json:"cold"`
 	}
 
-	// Service is the configuration of a service's servers.
-	Service struct {
+	// ServiceConfig is the configuration of a service's servers.
+	ServiceConfig struct {
 		// ColdTime is the duration of the slow start of a server.
 		ColdTime time.Duration `json:"coldTime"`
 		// ColdRate is the number of requests per second that a cold server handles
@@ -102,7 +102,7 @@
 		members   map[id.Server]*Member
 		zones     map[id.Zone]*reachability
 		baselines map[id.Service]*baseline
-		services  map[id.Service]Service
+		services  map[id.Service]ServiceConfig
 		evacuated map[id.Zone]bool
 		resumed   time.Time
 		self      netip.AddrPort
@@ -212,8 +212,8 @@
 	r.publish()
 }
 
-// Resumed records that the store is available again after an outage.
-func (r *Roster) Resumed(now time.Time) {
+// StoreRecovered records that the store is available again after an outage.
+func (r *Roster) StoreRecovered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resumed = now
@@ -252,9 +252,9 @@
 	}
 }
 
-// Evacuate sets the zones whose servers get no requests. The servers of a zone whose
+// SetEvacuated sets the zones whose servers get no requests. The servers of a zone whose
 // evacuation ends are treated as cold.
-func (r *Roster) Evacuate(now time.Time, zones map[id.Zone]bool) {
+func (r *Roster) SetEvacuated(now time.Time, zones map[id.Zone]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if maps.Equal(zones, r.evacuated) {
@@ -271,7 +271,7 @@
 }
 
 // Configure sets the configuration of the services.
-func (r *Roster) Configure(services map[id.Service]Service) {
+func (r *Roster) Configure(services map[id.Service]ServiceConfig) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.services = maps.Clone(services)
@@ -325,7 +325,7 @@
 		return false
 	}
 	m := newMember(s, r.zone(s.Zone), r.baseline(s.Service))
-	if old != nil && old.Born == s.Born && old.Service == s.Service && old.Address == s.Address {
+	if old != nil && old.StartedAt == s.StartedAt && old.Service == s.Service && old.Address == s.Address {
 		m.state = old.state
 	}
 	if s.Cold > 0 {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -28,7 +28,7 @@
 
 func newRoster() *roster.Roster {
 	r := &roster.Roster{Grace: grace, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-	r.Configure(map[id.Service]roster.Service{svc: {ColdTime: 3 * time.Second, ColdRate: 30}})
+	r.Configure(map[id.Service]roster.ServiceConfig{svc: {ColdTime: 3 * time.Second, ColdRate: 30}})
 	r.SetColdBound(roster.ColdBound{Overshoot: 1})
 	r.SetEntries(entry(1), []netip.AddrPort{entry(2), entry(3), entry(4), entry(5), entry(6), entry(7)})
 	return r
@@ -39,7 +39,7 @@
 }
 
 func server(name id.Server) roster.Server {
-	return roster.Server{Name: name, Service: svc, Address: "10.0.0.1:80", Zone: "a-1", Region: "a", Slots: 6, Born: 1}
+	return roster.Server{Name: name, Service: svc, Address: "10.0.0.1:80", Zone: "a-1", Region: "a", Slots: 6, StartedAt: 1}
 }
 
 func names(r *roster.Roster) []id.Server {
@@ -64,37 +64,37 @@
 		}, []id.Server{"i-2"}},
 		"removed":              {func(r *roster.Roster) { r.Remove(start, "i-1") }, []id.Server{"i-2"}},
 		"missing in a list":    {func(r *roster.Roster) { r.Replace(start, []roster.Server{server("i-2")}) }, []id.Server{"i-2"}},
-		"zone evacuated":       {func(r *roster.Roster) { r.Evacuate(start, map[id.Zone]bool{"a-1": true}) }, nil},
-		"other zone evacuated": {func(r *roster.Roster) { r.Evacuate(start, map[id.Zone]bool{"b-1": true}) }, []id.Server{"i-1", "i-2"}},
+		"zone evacuated":       {func(r *roster.Roster) { r.SetEvacuated(start, map[id.Zone]bool{"a-1": true}) }, nil},
+		"other zone evacuated": {func(r *roster.Roster) { r.SetEvacuated(start, map[id.Zone]bool{"b-1": true}) }, []id.Server{"i-1", "i-2"}},
 		"missing right after an outage": {func(r *roster.Roster) {
-			r.Resumed(start)
+			r.StoreRecovered(start)
 			r.Replace(start, nil)
 			r.Step(at(grace - 1))
 		}, []id.Server{"i-1", "i-2"}},
 		"removed right after an outage, and back": {func(r *roster.Roster) {
-			r.Resumed(start)
+			r.StoreRecovered(start)
 			r.Remove(start, "i-1")
 			r.Put(at(time.Second), server("i-1"))
 			r.Step(at(time.Minute))
 		}, []id.Server{"i-1", "i-2"}},
 		"missing since an outage for longer than the grace period": {func(r *roster.Roster) {
-			r.Resumed(start)
+			r.StoreRecovered(start)
 			r.Replace(start, []roster.Server{server("i-2")})
 			r.Step(at(grace))
 		}, []id.Server{"i-2"}},
 		"missing a grace period after the store's recovery": {func(r *roster.Roster) {
-			r.Resumed(start.Add(-grace)) // the store recovered a whole grace period before
+			r.StoreRecovered(start.Add(-grace)) // the store recovered a whole grace period before
 			r.Replace(start, []roster.Server{server("i-2")})
 		}, []id.Server{"i-2"}},
 		"removed after the grace period": {func(r *roster.Roster) {
-			r.Resumed(start)
+			r.StoreRecovered(start)
 			r.Remove(at(grace), "i-1")
 		}, []id.Server{"i-2"}},
 		"was leaving before the outage": {func(r *roster.Roster) {
 			s := server("i-1")
 			s.Leaving = true
 			r.Put(start, s)
-			r.Resumed(start)
+			r.StoreRecovered(start)
 			r.Replace(start, []roster.Server{server("i-2")})
 		}, []id.Server{"i-2"}},
 	}
@@ -139,8 +139,8 @@
 		}, 3 * time.Second, 100},
 		"evacuation of its zone ended": {func(r *roster.Roster) {
 			fresh(r)
-			r.Evacuate(start, map[id.Zone]bool{"a-1": true})
-			r.Evacuate(start, nil)
+			r.SetEvacuated(start, map[id.Zone]bool{"a-1": true})
+			r.SetEvacuated(start, nil)
 		}, 0, share},
 		"reached again after failures": {func(r *roster.Roster) {
 			fresh(r)
@@ -157,7 +157,7 @@
 			s := server("i-1")
 			s.Cold = 3 * time.Second
 			r.Put(start, s)
-			s.Cold, s.Born = 0, 2
+			s.Cold, s.StartedAt = 0, 2
 			r.Put(start, s)
 		}, 0, 100},
 	}
@@ -251,7 +251,7 @@
 			total := 0
 			for self := range tt.entries {
 				r := newRoster()
-				r.Configure(map[id.Service]roster.Service{svc: {ColdTime: 3 * time.Second, ColdRate: tt.rate}})
+				r.Configure(map[id.Service]roster.ServiceConfig{svc: {ColdTime: 3 * time.Second, ColdRate: tt.rate}})
 				var others []netip.AddrPort
 				for n := range tt.entries {
 					if n != self {
@@ -285,8 +285,8 @@
 		}
 	}
 	check := func(r *roster.Roster, at time.Duration, ok bool) {
-		for _, m := range r.Checks(start.Add(at)) {
-			r.Checked(start.Add(at), m, ok)
+		for _, m := range r.DueChecks(start.Add(at)) {
+			r.RecordCheck(start.Add(at), m, ok)
 		}
 	}
 	tests := map[string]struct {
@@ -327,7 +327,7 @@
 func TestNoRequestsToColdServersBeforeEntriesAreKnown(t *testing.T) {
 	is := is.New(t)
 	r := &roster.Roster{Log: slog.New(slog.DiscardHandler)}
-	r.Configure(map[id.Service]roster.Service{svc: {ColdTime: 3 * time.Second, ColdRate: 30}})
+	r.Configure(map[id.Service]roster.ServiceConfig{svc: {ColdTime: 3 * time.Second, ColdRate: 30}})
 	r.SetColdBound(roster.ColdBound{Overshoot: 1})
 	s := server("i-1")
 	s.Cold = time.Second
@@ -344,21 +344,21 @@
 	for _, name := range []id.Server{"i-1", "i-2", "i-3", "i-4"} {
 		r.Put(start, server(name))
 	}
-	is.Equal(len(r.Checks(start)), 0)
+	is.Equal(len(r.DueChecks(start)), 0)
 	fail(r, 0, start)
-	is.Equal(len(r.Checks(start)), 0) // a single failure is tolerated
+	is.Equal(len(r.DueChecks(start)), 0) // a single failure is tolerated
 	fail(r, 0, start)
 	first := r.View().Members(svc)[0]
-	is.Equal(len(r.Checks(start.Add(500*time.Millisecond))), 0) // too soon
+	is.Equal(len(r.DueChecks(start.Add(500*time.Millisecond))), 0) // too soon
 	at := start.Add(time.Second)
 	is.True(!first.Ready(at))
-	is.Equal(r.Checks(at), []*roster.Member{first})
-	is.Equal(len(r.Checks(at)), 0) // a check is already running
-	r.Checked(at, first, false)
-	is.Equal(len(r.Checks(at.Add(time.Second))), 0) // the interval has doubled
+	is.Equal(r.DueChecks(at), []*roster.Member{first})
+	is.Equal(len(r.DueChecks(at)), 0) // a check is already running
+	r.RecordCheck(at, first, false)
+	is.Equal(len(r.DueChecks(at.Add(time.Second))), 0) // the interval has doubled
 	at = at.Add(2 * time.Second)
-	is.Equal(len(r.Checks(at)), 1)
-	r.Checked(at, first, true)
+	is.Equal(len(r.DueChecks(at)), 1)
+	r.RecordCheck(at, first, true)
 	is.True(first.Ready(at))
 	is.True(first.Begin(at))
 	is.True(!first.Begin(at)) // one trial at a time
@@ -378,14 +378,14 @@
 		fail(r, i, start)
 	}
 	at := start.Add(200 * time.Millisecond)
-	due := r.Checks(at)
+	due := r.DueChecks(at)
 	is.Equal(len(due), 1) // one server of the zone
-	is.Equal(len(r.Checks(at.Add(100*time.Millisecond))), 0)
-	r.Checked(at, due[0], true)
+	is.Equal(len(r.DueChecks(at.Add(100*time.Millisecond))), 0)
+	r.RecordCheck(at, due[0], true)
 	for i, m := range r.View().Members(svc) {
 		is.Equal(m.Ready(at), i == 3 || m == due[0]) // the other failed servers are not eligible yet
 	}
-	is.True(len(r.Checks(at)) >= 2)
+	is.True(len(r.DueChecks(at)) >= 2)
 }
 
 // Incremental changes result in the same view as a complete list.
@@ -419,8 +419,8 @@
 				s.Service = "other"
 			case 3:
 				zones := map[id.Zone]bool{s.Zone: rapid.Bool().Draw(t, "evacuated")}
-				r.Evacuate(start, zones)
-				whole.Evacuate(start, zones)
+				r.SetEvacuated(start, zones)
+				whole.SetEvacuated(start, zones)
 			}
 			known[s.Name] = s
 			r.Put(start, s)
