--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -77,10 +77,10 @@
 const (
 	// Owner means that the server is the highest ranked one.
 	Owner Reason = "owner"
-	// Familiar means that the owner has no free slot, and that the chosen server is
+	// Warm means that the owner has no free slot, and that the chosen server is
 	// warm for the object (it recently got requests on it) and has a free slot or a
 	// much lower load.
-	Familiar Reason = "familiar"
+	Warm Reason = "familiar"
 	// Spill means that the owner has a long queue and the chosen server has spare
 	// capacity.
 	Spill Reason = "spill"
@@ -151,22 +151,22 @@
 		FullQueue float64
 		// Overflow is the owner's load from which a request is refused.
 		Overflow float64
-		// FamiliarLoad is the load below which a warm server for the object takes
+		// WarmLoad is the load below which a warm server for the object takes
 		// requests of an owner without a free slot.
-		FamiliarLoad float64
-		// FamiliarShare is the same limit as a fraction of the owner's load. The
+		WarmLoad float64
+		// WarmShare is the same limit as a fraction of the owner's load. The
 		// greater of the two applies.
-		FamiliarShare float64
+		WarmShare float64
 		// SpareLoad is the load below which a server takes requests on objects that
 		// it is not warm for.
 		SpareLoad float64
 		// QueueObjectives is the longest expected latency at which a request is still
 		// queued, in multiples of the route's latency objective.
 		QueueObjectives float64
-		// SurelyInTime is the fraction of that latency, or of the time until the
+		// AlwaysQueueShare is the fraction of that latency, or of the time until the
 		// request's deadline if that is shorter, within which a request is always
 		// queued.
-		SurelyInTime float64
+		AlwaysQueueShare float64
 	}
 
 	// candidate is a server with its rank for a request. The lowest in the order of
@@ -183,9 +183,9 @@
 func (l Limits) withDefaults() Limits {
 	return Limits{
 		FullQueue: cmp.Or(l.FullQueue, fullQueue), Overflow: cmp.Or(l.Overflow, overflow),
-		FamiliarLoad: cmp.Or(l.FamiliarLoad, warmLoad), FamiliarShare: cmp.Or(l.FamiliarShare, warmShare),
+		WarmLoad: cmp.Or(l.WarmLoad, warmLoad), WarmShare: cmp.Or(l.WarmShare, warmShare),
 		SpareLoad: cmp.Or(l.SpareLoad, spareLoad), QueueObjectives: cmp.Or(l.QueueObjectives, queueObjectives),
-		SurelyInTime: cmp.Or(l.SurelyInTime, surelyInTime),
+		AlwaysQueueShare: cmp.Or(l.AlwaysQueueShare, surelyInTime),
 	}
 }
 
@@ -241,8 +241,8 @@
 	if load < 1 {
 		return c
 	}
-	if m := d.warmServer(now, view, req, max(limits.FamiliarLoad, limits.FamiliarShare*load), skipped); m != nil {
-		c.Server, c.Reason = m, Familiar
+	if m := d.warmServer(now, view, req, max(limits.WarmLoad, limits.WarmShare*load), skipped); m != nil {
+		c.Server, c.Reason = m, Warm
 		return c
 	}
 	timely := inTime(now, first, req, &limits)
@@ -262,7 +262,7 @@
 }
 
 // inTime reports whether a request that queues at a server is expected to be answered
-// in time. If the expected latency is between [Limits.SurelyInTime] and all of the available
+// in time. If the expected latency is between [Limits.AlwaysQueueShare] and all of the available
 // time, a fraction of the requests is refused that grows with the expected latency:
 // entries that see the same load then don't all start refusing at the same moment.
 func inTime(now time.Time, m *roster.Member, req *Request, limits *Limits) bool {
@@ -274,7 +274,7 @@
 		return true
 	}
 	share := float64(m.Expected(now)) / float64(left)
-	return share < limits.SurelyInTime+(1-limits.SurelyInTime)*req.Draw
+	return share < limits.AlwaysQueueShare+(1-limits.AlwaysQueueShare)*req.Draw
 }
 
 // warmServer returns the least busy server that is warm for the request's object and
--- a/internal/dispatch/familiar_test.go
+++ b/internal/dispatch/familiar_test.go
@@ -28,7 +28,7 @@
 	}
 	// The owner has all slots in use, but its queue is too short for a spill.
 	c = d.Choose(start.Add(10*time.Second), req)
-	is.Equal(c.Reason, dispatch.Familiar)
+	is.Equal(c.Reason, dispatch.Warm)
 	is.Equal(c.Server.Name, second.Name)
 	c.Server.End(start, roster.Outcome{})
 	c = d.Choose(start.Add(26*time.Second), req)
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -58,7 +58,7 @@
 		"longQueues":    limited(dispatch.Limits{FullQueue: 4, Overflow: 4, QueueObjectives: noLimit}),
 		"spillBusy":     limited(dispatch.Limits{SpareLoad: 0.8}),
 		"spillLessBusy": limited(dispatch.Limits{FullQueue: 1, SpareLoad: 1.5, Overflow: 4, QueueObjectives: noLimit}),
-		"freeFamiliar":  limited(dispatch.Limits{FamiliarShare: 1e-9}),
+		"freeFamiliar":  limited(dispatch.Limits{WarmShare: 1e-9}),
 	}
 }
 
