--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -140,7 +140,7 @@
 	return fmt.Sprintf("%.0f%%", 100*float64(h.Slots-h.Used)/float64(h.Slots))
 }
 
-func formatSeen(s operator.Seen) string {
+func formatSeen(s operator.Freshness) string {
 	if s.State == "missing" || s.State == "" {
 		return "never"
 	}
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -63,15 +63,15 @@
 	return out, nil
 }
 
-func (s *source) storeStatus() operator.Seen {
+func (s *source) storeStatus() operator.Freshness {
 	r := s.store.Report()
 	switch {
 	case r.LastAnswer.IsZero():
-		return operator.Seen{State: "missing"}
+		return operator.Freshness{State: "missing"}
 	case !r.FailingSince.IsZero():
-		return operator.Seen{State: "stale", Age: unit.Duration(time.Since(r.LastAnswer))}
+		return operator.Freshness{State: "stale", Age: unit.Duration(time.Since(r.LastAnswer))}
 	default:
-		return operator.Seen{State: "fresh", Age: unit.Duration(time.Since(r.LastAnswer))}
+		return operator.Freshness{State: "fresh", Age: unit.Duration(time.Since(r.LastAnswer))}
 	}
 }
 
@@ -87,7 +87,7 @@
 		all := link.Limit(l, measured.Value[unit.BitRate]{}, time.Now())
 		out = append(out, operator.LinkStatus{
 			From: s.Settings.Region, To: r.Name, Budget: unit.BitRate(float64(all) * float64(s.limits.share())),
-			Seen: operator.Seen{State: measured.Missing.String()},
+			Seen: operator.Freshness{State: measured.Missing.String()},
 		})
 	}
 	return out
@@ -105,11 +105,11 @@
 	for _, e := range s.Settings.World.Entries {
 		region, _ := s.Settings.World.Region(e.Zone)
 		if e.Name == s.Settings.Instance {
-			out = append(out, operator.InstanceStatus{Name: e.Name, Zone: e.Zone, Region: region, State: s.ownState().String(), Version: version, Seen: operator.Seen{State: "fresh"}})
+			out = append(out, operator.InstanceStatus{Name: e.Name, Zone: e.Zone, Region: region, State: s.ownState().String(), Version: version, Seen: operator.Freshness{State: "fresh"}})
 			continue
 		}
 		m := s.members.Member(e.Name, now)
-		seen := operator.Seen{State: "fresh", Age: unit.Duration(m.Silence)}
+		seen := operator.Freshness{State: "fresh", Age: unit.Duration(m.Silence)}
 		if !m.Alive {
 			seen.State = "stale"
 		}
@@ -144,11 +144,11 @@
 }
 
 // reportAge returns the state and age of a server's last load report.
-func (s *source) reportAge(of id.Service, server id.Server) operator.Seen {
+func (s *source) reportAge(of id.Service, server id.Server) operator.Freshness {
 	v, now := s.router.Report(of, server), time.Now()
 	_, state := v.Read(now, health.MaxAge)
 	age, _ := v.Age(now)
-	return operator.Seen{State: state.String(), Age: unit.Duration(max(age, 0))}
+	return operator.Freshness{State: state.String(), Age: unit.Duration(max(age, 0))}
 }
 
 // home returns the entry that grants the slots of a service's servers in a
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -30,7 +30,7 @@
 		// Leaving reports whether it is shutting down.
 		Leaving bool `json:"leaving"`
 		// Store is the age of the last answer of the platform's store.
-		Store Seen `json:"store"`
+		Store Freshness `json:"store"`
 		// Instances lists the entries.
 		Instances []InstanceStatus `json:"instances"`
 		// Links lists the links between regions.
@@ -39,8 +39,8 @@
 		Services []ServiceStatus `json:"services"`
 	}
 
-	// Seen is the age of a measurement.
-	Seen struct {
+	// Freshness is the age of a measurement.
+	Freshness struct {
 		// State is fresh, stale, missing or future.
 		State string `json:"state"`
 		// Age is the time since the measurement; 0 if it is missing.
@@ -61,7 +61,7 @@
 		// Version is the version of its active configuration.
 		Version id.Version `json:"version"`
 		// Seen is the age of its last heartbeat.
-		Seen Seen `json:"seen"`
+		Seen Freshness `json:"seen"`
 	}
 
 	// LinkStatus is the status of one direction of a link between regions.
@@ -75,7 +75,7 @@
 		// Used is the bandwidth in use.
 		Used unit.BitRate `json:"used"`
 		// Seen is the age of Used.
-		Seen Seen `json:"seen"`
+		Seen Freshness `json:"seen"`
 	}
 
 	// ServiceStatus is the status of a service.
@@ -115,7 +115,7 @@
 		// Home is the entry that grants its slots; empty if unknown.
 		Home id.Instance `json:"home,omitempty"`
 		// Seen is the age of its last load report.
-		Seen Seen `json:"seen"`
+		Seen Freshness `json:"seen"`
 	}
 
 	// Query describes a request whose routing is to be explained.
