--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -118,7 +118,7 @@
 func (a *Admitter) Handed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.node.Handed()
+	return a.node.Drained()
 }
 
 // Run exchanges messages with the other entries until ctx is done.
--- a/internal/admission/shared/talk.go
+++ b/internal/admission/shared/talk.go
@@ -36,14 +36,14 @@
 func (c poolClock) Raise(b wire.Bucket) { c.Homes.Raise(b) }
 
 // step returns the messages that are due.
-func (a *Admitter) step() []node.Send {
+func (a *Admitter) step() []node.Message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.node.Step(a.Pool.Now())
 }
 
 // exchange sends a message and processes the response.
-func (a *Admitter) exchange(ctx context.Context, s node.Send) {
+func (a *Admitter) exchange(ctx context.Context, s node.Message) {
 	ctx, cancel := context.WithTimeout(ctx, a.Renew)
 	defer cancel()
 	defer a.wakeRun()
@@ -58,7 +58,7 @@
 			return
 		}
 		a.mu.Lock()
-		next, more := a.node.Pushed(s.To, &r, a.Pool.Now())
+		next, more := a.node.GrantAnswered(s.To, &r, a.Pool.Now())
 		a.mu.Unlock()
 		a.wakeRun()
 		if !more {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (a *Admitter) sendReport(ctx context.Context, s node.Send) {
+func (a *Admitter) sendReport(ctx context.Context, s node.Message) {
 	answer := new(wire.Grant)
 	if err := a.Caller.Call(ctx, s.To.Instance, wire.MethodReport, s.Report, answer); err != nil {
 		a.logFailure(s, err)
@@ -76,10 +76,10 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.Answered(s.Report, answer, a.Pool.Now())
+	a.node.ReportAnswered(s.Report, answer, a.Pool.Now())
 }
 
-func (a *Admitter) logFailure(s node.Send, err error) {
+func (a *Admitter) logFailure(s node.Message, err error) {
 	a.Log.Debug("slots message failed", "to", s.To.Instance, "report", s.Report != nil, "error", err)
 }
 
--- a/internal/replay/shares.go
+++ b/internal/replay/shares.go
@@ -169,14 +169,14 @@
 
 // deliver delivers a message and its answer, each after the network delay. A report
 // without an answer within renewInterval counts as failed.
-func (e *sharesEntry) deliver(s node.Send) {
+func (e *sharesEntry) deliver(s node.Message) {
 	to := e.index[s.To.Instance]
 	other, delay := e.entries[to], e.run.env.entryDelay(e.self, to)
 	answered := false
 	if s.Report != nil {
 		e.run.after(renewInterval, func() {
 			if !answered {
-				e.node.Answered(s.Report, nil, e.run.now)
+				e.node.ReportAnswered(s.Report, nil, e.run.now)
 			}
 		})
 	}
@@ -197,7 +197,7 @@
 			if e.run.failed[e.self] {
 				return
 			}
-			if next, more := e.node.Pushed(s.To, &r, e.run.now); more {
+			if next, more := e.node.GrantAnswered(s.To, &r, e.run.now); more {
 				e.deliver(next)
 			}
 			e.step()
@@ -205,7 +205,7 @@
 	})
 }
 
-func (e *sharesEntry) answerReport(other *sharesEntry, s node.Send, delay time.Duration, answered *bool) {
+func (e *sharesEntry) answerReport(other *sharesEntry, s node.Message, delay time.Duration, answered *bool) {
 	grant, err := other.node.Report(e.node.Self, s.Report, e.run.now)
 	if err != nil {
 		return
@@ -214,7 +214,7 @@
 	e.run.after(delay, func() {
 		if !e.run.failed[e.self] {
 			*answered = true
-			e.node.Answered(s.Report, &grant, e.run.now)
+			e.node.ReportAnswered(s.Report, &grant, e.run.now)
 			e.step()
 		}
 	})
--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -18,8 +18,8 @@
 	BucketPlan struct {
 		// Slots lists the servers with the slots that the home divides.
 		Slots []ledger.Slots
-		// Longest is the longest time that a request may run, margin included.
-		Longest time.Duration
+		// MaxRequestTime is the longest time that a request may run, margin included.
+		MaxRequestTime time.Duration
 	}
 
 	// bucket is an entry's state of one bucket.
@@ -53,7 +53,7 @@
 			s := &f.Servers[i]
 			key := wire.Bucket{Service: f.Service, Zone: s.Zone}
 			if plans[key] == nil {
-				plans[key] = &BucketPlan{Longest: longest}
+				plans[key] = &BucketPlan{MaxRequestTime: longest}
 			}
 			n := min(s.Slots, s.Connections)
 			if s.Leaving {
@@ -90,7 +90,7 @@
 	}
 	b.holder.Configure(names)
 	if b.ledger != nil {
-		b.ledger.MaxRequestTime = max(b.ledger.MaxRequestTime, p.Longest)
+		b.ledger.MaxRequestTime = max(b.ledger.MaxRequestTime, p.MaxRequestTime)
 		b.ledger.Configure(p.Slots, now)
 	}
 }
@@ -107,7 +107,7 @@
 		return
 	}
 	if b.ledger == nil {
-		b.ledger = &ledger.Ledger{Bucket: b.key, Lifetime: n.Lifetime, MaxRequestTime: b.plan.Longest, ReportTimeout: n.Lifetime}
+		b.ledger = &ledger.Ledger{Bucket: b.key, Lifetime: n.Lifetime, MaxRequestTime: b.plan.MaxRequestTime, ReportTimeout: n.Lifetime}
 		b.ledger.Configure(b.plan.Slots, now)
 	}
 	if term > b.ledger.Term() {
@@ -116,7 +116,7 @@
 	if term == b.ledger.Term() {
 		b.ledger.SetAuthority(until)
 	}
-	b.ledger.Scatter = n.Leaving || b.plan.Longest > scatterAbove
+	b.ledger.Scatter = n.Leaving || b.plan.MaxRequestTime > scatterAbove
 	if b.ledger.Tick(now) {
 		n.Homes.Raise(b.key)
 	}
--- a/internal/slots/node/node.go
+++ b/internal/slots/node/node.go
@@ -79,9 +79,9 @@
 		order   []*bucket
 	}
 
-	// Send is a message to another entry: a Report, whose answer is passed to
+	// Message is a message to another entry: a Report, whose answer is passed to
 	// Answered, or a Grant, whose answer is passed to Pushed.
-	Send struct {
+	Message struct {
 		// To is the receiver. Its incarnation is known for a Grant only.
 		To peer.Sender
 		// Report is set in a message to a home.
@@ -111,14 +111,14 @@
 	slices.SortFunc(n.order, func(x, y *bucket) int { return x.compare(y) })
 	for key, b := range n.buckets {
 		if plans[key] == nil {
-			b.configure(&BucketPlan{Longest: b.plan.Longest}, now)
+			b.configure(&BucketPlan{MaxRequestTime: b.plan.MaxRequestTime}, now)
 		}
 	}
 }
 
 // Step updates all buckets and returns the messages to send.
-func (n *Node) Step(now time.Duration) []Send {
-	var sends []Send
+func (n *Node) Step(now time.Duration) []Message {
+	var sends []Message
 	for _, b := range n.order {
 		b.updateLedger(n, now)
 		b.updateHolder(n, now)
@@ -135,9 +135,9 @@
 	return sends
 }
 
-// Answered applies the answer to a report that Step returned, nil if there was
+// ReportAnswered applies the answer to a report that Step returned, nil if there was
 // none.
-func (n *Node) Answered(r *wire.Report, grant *wire.Grant, now time.Duration) {
+func (n *Node) ReportAnswered(r *wire.Report, grant *wire.Grant, now time.Duration) {
 	b := n.buckets[r.Bucket]
 	if b == nil {
 		return
@@ -148,14 +148,14 @@
 	}
 }
 
-// Pushed applies the report that answers a grant. It returns the next grant to the
+// GrantAnswered applies the report that answers a grant. It returns the next grant to the
 // same holder, if that one gives it slots that the holder has not seen.
-func (n *Node) Pushed(to peer.Sender, r *wire.Report, now time.Duration) (Send, bool) {
+func (n *Node) GrantAnswered(to peer.Sender, r *wire.Report, now time.Duration) (Message, bool) {
 	grant, err := n.Report(to, r, now)
 	if err != nil || !hasNewSlots(&grant, r) {
-		return Send{}, false
+		return Message{}, false
 	}
-	return Send{To: to, Grant: &grant}, true
+	return Message{To: to, Grant: &grant}, true
 }
 
 // Report applies a holder's report to this entry as home and returns the answer.
@@ -181,9 +181,9 @@
 	return r, nil
 }
 
-// Handed reports whether a Node that is leaving has returned all idle slots and
+// Drained reports whether a Node that is leaving has returned all idle slots and
 // has granted all free slots of its buckets, so that its leases may be released.
-func (n *Node) Handed() bool {
+func (n *Node) Drained() bool {
 	for _, b := range n.order {
 		if limit, used := b.holder.Counts(); limit > used {
 			return false
@@ -221,7 +221,7 @@
 }
 
 // balance requests and returns slots of one service.
-func (n *Node) balance(buckets []*bucket, now time.Duration) []Send {
+func (n *Node) balance(buckets []*bucket, now time.Duration) []Message {
 	waiting := n.Waiting(buckets[0].key.Service)
 	views := make([]demand.Bucket, 0, len(buckets))
 	for _, b := range buckets {
@@ -233,7 +233,7 @@
 	}
 	wants := policy.Wants(waiting, views, nil)
 	returns := policy.Returns(waiting, views, nil)
-	var sends []Send
+	var sends []Message
 	for i, b := range buckets {
 		if !views[i].Busy && (!b.keep || n.Leaving) && returns[i] > 0 && b.holder.Return(returns[i]) > 0 {
 			views[i].Due = true
@@ -252,7 +252,7 @@
 // report creates a report to the home, and applies it directly if this entry is
 // the home. While the home's term is not known the report has term 0, and the
 // answer contains the term.
-func (n *Node) report(b *bucket, now time.Duration, want, waiting int) []Send {
+func (n *Node) report(b *bucket, now time.Duration, want, waiting int) []Message {
 	home, _, ok := n.Homes.Home(b.key)
 	if !ok || (home == n.Self.Instance && b.holder.Term() == 0) {
 		return nil
@@ -262,7 +262,7 @@
 	b.lastReport, b.urgent = now, false
 	if home != n.Self.Instance {
 		b.busy, b.asked = true, want
-		return []Send{{To: peer.Sender{Instance: home}, Report: &r}}
+		return []Message{{To: peer.Sender{Instance: home}, Report: &r}}
 	}
 	grant, err := n.Report(n.Self, &r, now)
 	if err != nil {
@@ -286,17 +286,17 @@
 }
 
 // pushes returns the grants that this entry pushes as home.
-func (n *Node) pushes(b *bucket, now time.Duration) []Send {
+func (n *Node) pushes(b *bucket, now time.Duration) []Message {
 	if b.ledger == nil {
 		return nil
 	}
-	var sends []Send
+	var sends []Message
 	for _, p := range b.ledger.Pushes() {
 		switch {
 		case p.To == n.Self:
 			n.applyGrant(b, &p.Grant, now)
 		case p.To.Instance != n.Self.Instance:
-			sends = append(sends, Send{To: p.To, Grant: &p.Grant})
+			sends = append(sends, Message{To: p.To, Grant: &p.Grant})
 		}
 	}
 	return sends
