--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -112,10 +112,10 @@
 	a.wakeRun()
 }
 
-// Handed reports, after Leave, whether all slots that aren't in use have been
+// UnusedReturned reports, after Leave, whether all slots that aren't in use have been
 // returned. The leases of the buckets may and should then be released: the next
 // home entries are informed of every slot.
-func (a *Admitter) Handed() bool {
+func (a *Admitter) UnusedReturned() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.node.Drained()
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -125,7 +125,7 @@
 // moves without a handover of its free slots has fewer slots until the longest
 // request deadline has passed.
 func (d *Daemon) wantsHome(name string) bool {
-	if d.phase(1) != leaving.Serving && (d.slots.Handed() || d.closed()) {
+	if d.phase(1) != leaving.Serving && (d.slots.UnusedReturned() || d.closed()) {
 		return false
 	}
 	if _, held := d.leases.Held(name); held {
