--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -266,8 +266,8 @@
 	}
 	limits := &d.Settings.Limits
 	d.callers = &httpserver.Server{
-		Address: d.Settings.Listeners.Caller, Handler: d.handler, HeaderTime: limits.HeaderTime.Std(),
-		IdleTime: limits.IdleTime.Std(), Connections: limits.Connections,
+		Address: d.Settings.Listeners.Caller, Handler: d.handler, HeaderTimeout: limits.HeaderTime.Std(),
+		IdleTimeout: limits.IdleTime.Std(), MaxConnections: limits.Connections,
 	}
 	d.operators = &httpserver.Server{
 		Address: d.Settings.Listeners.Operator,
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -28,15 +28,15 @@
 		Address netip.AddrPort
 		// Handler answers the requests.
 		Handler http.Handler
-		// HeaderTime is the time limit for receiving a request's header; 0
+		// HeaderTimeout is the time limit for receiving a request's header; 0
 		// means 10 s.
-		HeaderTime time.Duration
-		// IdleTime is how long a connection without a request is kept open; 0
+		HeaderTimeout time.Duration
+		// IdleTimeout is how long a connection without a request is kept open; 0
 		// means 2 minutes.
-		IdleTime time.Duration
-		// Connections is the limit on open connections; further ones are
+		IdleTimeout time.Duration
+		// MaxConnections is the limit on open connections; further ones are
 		// closed at once. 0 means no limit.
-		Connections int
+		MaxConnections int
 		// ConnContext, if not nil, returns the context from which the contexts
 		// of a connection's requests are derived.
 		ConnContext func(ctx context.Context, c net.Conn) context.Context
@@ -105,16 +105,16 @@
 
 func (s *Server) configure(server *http.Server) {
 	server.MaxHeaderBytes = maxHeader
-	server.ReadHeaderTimeout = s.HeaderTime
-	if s.HeaderTime == 0 {
+	server.ReadHeaderTimeout = s.HeaderTimeout
+	if s.HeaderTimeout == 0 {
 		server.ReadHeaderTimeout = defaultHeaderTime
 	}
-	server.IdleTimeout = s.IdleTime
-	if s.IdleTime == 0 {
+	server.IdleTimeout = s.IdleTimeout
+	if s.IdleTimeout == 0 {
 		server.IdleTimeout = defaultIdleTime
 	}
 	server.ConnContext = s.ConnContext
-	if s.Connections > 0 {
+	if s.MaxConnections > 0 {
 		s.excess = map[net.Conn]bool{}
 		server.ConnState = s.trackConn
 	}
@@ -126,7 +126,7 @@
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		if s.open.Add(1) > int64(s.Connections) {
+		if s.open.Add(1) > int64(s.MaxConnections) {
 			s.open.Add(-1)
 			s.mu.Lock()
 			s.excess[c] = true
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -90,7 +90,7 @@
 
 func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
 	is := is.New(t)
-	s := httpserver.Server{Address: loopback(), Connections: 1, Handler: http.NotFoundHandler()}
+	s := httpserver.Server{Address: loopback(), MaxConnections: 1, Handler: http.NotFoundHandler()}
 	is.NoErr(s.Start())
 	defer s.Close()
 	first := dial(is, s.Address)
