--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -67,7 +67,7 @@
 }
 
 // Raise requests a new term for a bucket.
-func (h homeLeases) Raise(b wire.Bucket) { h.keeper.Raise(bucketName(b)) }
+func (h homeLeases) Raise(b wire.Bucket) { h.keeper.RequestTerm(bucketName(b)) }
 
 func bucketName(b wire.Bucket) string { return string(b.Service) + "/" + string(b.Zone) }
 
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -164,9 +164,9 @@
 	h.confirmedAt = began
 }
 
-// Raise makes the next write raise the term of a held lease, so that everything
+// RequestTerm makes the next write raise the term of a held lease, so that everything
 // granted in the current term has to be requested again.
-func (h *Holder) Raise() { h.raise = true }
+func (h *Holder) RequestTerm() { h.raise = true }
 
 // WriteFailed applies a failed write. conflict means that its condition did not
 // hold; otherwise it is unknown whether the write took effect. The record must be
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -138,13 +138,13 @@
 	}
 }
 
-// Raise requests a new term of a lease that this process holds. It returns at once;
+// RequestTerm requests a new term of a lease that this process holds. It returns at once;
 // Held returns the new term once it is written to the store.
-func (k *Keeper) Raise(name string) {
+func (k *Keeper) RequestTerm(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if h, ok := k.holders[name]; ok {
-		h.Raise()
+		h.RequestTerm()
 	}
 }
 
--- a/internal/lease/keeper_test.go
+++ b/internal/lease/keeper_test.go
@@ -175,8 +175,8 @@
 func TestRaiseRaisesTheTermOfAHeldLease(t *testing.T) {
 	inFleet(t, &fleet{leases: 1}, func(is *is.I, f *fleet) {
 		before, _ := f.keepers[0].Held(f.names[0])
-		f.keepers[0].Raise(f.names[0])
-		f.keepers[1].Raise(f.names[0]) // doesn't hold it
+		f.keepers[0].RequestTerm(f.names[0])
+		f.keepers[1].RequestTerm(f.names[0]) // doesn't hold it
 		time.Sleep(2 * lifetimeOf)
 		after, held := f.keepers[0].Held(f.names[0])
 		is.True(held)
