--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -24,7 +24,7 @@
 	for method, handler := range d.slots.Handlers() {
 		d.node.Register(method, handler)
 	}
-	d.router = &routing.Router{World: world, Zone: d.Settings.Zone, Inner: &d.slots}
+	d.router = &routing.Router{Deployment: world, Zone: d.Settings.Zone, Inner: &d.slots}
 	d.slots.Pool.Order = d.router.Order
 	d.slots.Pool.MaxWaiting = maxWaiting
 	d.limits = limits{world: world, region: d.Settings.Region, started: d.started}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -21,8 +21,8 @@
 	// exported fields must be set before its first use. It is safe for
 	// concurrent use.
 	Router struct {
-		// World is the deployment.
-		World *deployment.Deployment
+		// Deployment is the deployment.
+		Deployment *deployment.Deployment
 		// Zone is the entry's own availability zone.
 		Zone id.Zone
 		// Inner grants slots, in the order given by Order.
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -80,7 +80,7 @@
 }
 
 func router() *routing.Router {
-	r := &routing.Router{World: world(), Zone: "fyn-1", Draw: rand.New(rand.NewPCG(1, 2)).Uint64}
+	r := &routing.Router{Deployment: world(), Zone: "fyn-1", Draw: rand.New(rand.NewPCG(1, 2)).Uint64}
 	r.Configure([]*service.File{file()}, time.Now())
 	return r
 }
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -57,7 +57,7 @@
 	defer s.mu.Unlock()
 	first := s.file == nil
 	s.file = f
-	if regions := placement.Regions(r.World, f, r.Zone); !slices.Equal(regions, s.regions) {
+	if regions := placement.Regions(r.Deployment, f, r.Zone); !slices.Equal(regions, s.regions) {
 		s.regions, s.steer = regions, placement.NewSteer(regions)
 	}
 	next := make(map[id.Server]*server, len(f.Servers))
@@ -126,11 +126,11 @@
 	for i := range s.file.Servers {
 		conf := &s.file.Servers[i]
 		state := s.servers[conf.Name].state(now)
-		region, ok := r.World.Region(conf.Zone)
+		region, ok := r.Deployment.Region(conf.Zone)
 		if !ok || state.leaving || state.verdict == health.No {
 			continue
 		}
-		m := placement.Member{Server: conf, Region: region, Delay: r.World.Delay(r.Zone, conf.Zone), Ramp: state.ramp}
+		m := placement.Member{Server: conf, Region: region, Delay: r.Deployment.Delay(r.Zone, conf.Zone), Ramp: state.ramp}
 		if state.verdict == health.Trial {
 			m.Ramp = min(m.Ramp, trialRamp)
 		}
@@ -148,7 +148,7 @@
 	sums := make(map[id.Region]sum)
 	for i := range s.file.Servers {
 		conf := &s.file.Servers[i]
-		region, ok := r.World.Region(conf.Zone)
+		region, ok := r.Deployment.Region(conf.Zone)
 		if !ok || conf.Leaving {
 			continue
 		}
