--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 	if err := d.prepare(); err != nil {
 		return err
 	}
-	defer context.AfterFunc(ctx, d.Leave)()
+	defer context.AfterFunc(ctx, d.BeginShutdown)()
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer cancel(nil)
 	d.mu.Lock()
@@ -143,8 +143,8 @@
 	return d.awaitShutdown(ctx)
 }
 
-// Leave begins graceful shutdown; later calls do nothing.
-func (d *Daemon) Leave() {
+// BeginShutdown begins graceful shutdown; later calls do nothing.
+func (d *Daemon) BeginShutdown() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.shutdown.Phase(time.Now(), 1) == leaving.Serving {
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -238,7 +238,7 @@
 	case !leave:
 		return operator.Progress{}, operator.Errorf(result.BadCommand, "the shutdown of an entry can't be cancelled; restart the entry")
 	}
-	s.Leave()
+	s.BeginShutdown()
 	return operator.Progress{Target: t, Draining: true, Text: "waiting for lookup answers to expire"}, nil
 }
 
--- a/internal/trial/stops.go
+++ b/internal/trial/stops.go
@@ -156,7 +156,7 @@
 	r.progress("shutting down %s, which carries a long upload", m.entry.Name)
 	start := time.Now()
 	r.setShuttingDown(true)
-	m.daemon.Leave()
+	m.daemon.BeginShutdown()
 	refusedSince := r.awaitRefusal(ctx, m)
 	e := <-ended
 	stopped := Shutdown{Instance: m.entry.Name}
