--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -43,15 +43,15 @@
 	is.NoErr(err)
 	f.Ephemeral = true
 	f.Platform = loopback()
-	f.World.Entries = f.World.Entries[:entries]
-	for i := range f.World.Entries {
-		f.World.Entries[i].Caller = address(i, callerPort)
-		f.World.Entries[i].Peer = address(i, peerPort)
+	f.Deployment.Entries = f.Deployment.Entries[:entries]
+	for i := range f.Deployment.Entries {
+		f.Deployment.Entries[i].Caller = address(i, callerPort)
+		f.Deployment.Entries[i].Peer = address(i, peerPort)
 	}
 	is.NoErr(f.Start())
 	t.Cleanup(func() { f.Close() })
 	s := &system{fleet: f}
-	for i := range f.World.Entries {
+	for i := range f.Deployment.Entries {
 		s.start(t, i)
 	}
 	return s
@@ -59,11 +59,11 @@
 
 func (s *system) start(t *testing.T, i int) {
 	t.Helper()
-	e := s.fleet.World.Entries[i]
-	region, _ := s.fleet.World.Region(e.Zone)
+	e := s.fleet.Deployment.Entries[i]
+	region, _ := s.fleet.Deployment.Region(e.Zone)
 	d := &daemon.Daemon{
 		Settings: &settings.Settings{
-			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.World,
+			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.Deployment,
 			Listeners: settings.Listeners{Caller: e.Caller, Peer: e.Peer, Operator: loopback()},
 			Platform:  settings.Platform{Store: s.fleet.Platform},
 			Operators: []settings.Operator{{Name: "nino", Role: settings.Reader, Hash: sha256.Sum256([]byte(token))}},
@@ -100,7 +100,7 @@
 }
 
 func (s *system) url(i int, path string) string {
-	return "http://" + s.fleet.World.Entries[i].Caller.String() + path
+	return "http://" + s.fleet.Deployment.Entries[i].Caller.String() + path
 }
 
 // await polls f until it returns true.
--- a/internal/launch/standin.go
+++ b/internal/launch/standin.go
@@ -57,7 +57,7 @@
 		log.Error("stand-ins not started", "error", err)
 		return exitFailed
 	}
-	log.Info("stand-ins started", "deployment", f.World.Name, "platform", f.Platform, "services", len(f.Files))
+	log.Info("stand-ins started", "deployment", f.Deployment.Name, "platform", f.Platform, "services", len(f.Files))
 	err := untilStopped(log, func(ctx context.Context) error {
 		<-ctx.Done()
 		return f.Close()
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -32,8 +32,8 @@
 	// Fleet is the simulated environment of one deployment. Its exported fields
 	// must not be changed between Start and Close.
 	Fleet struct {
-		// World is the deployment.
-		World *deployment.Deployment
+		// Deployment is the deployment.
+		Deployment *deployment.Deployment
 		// Files holds the service files. With Ephemeral, Start sets their
 		// backend servers' addresses.
 		Files []*service.File
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{World: spec}
+	f := &Fleet{Deployment: spec}
 	for _, each := range files {
 		f.Files = append(f.Files, each.Parsed)
 	}
@@ -89,7 +89,7 @@
 	if err := f.start(); err != nil {
 		return errors.Join(err, f.Close())
 	}
-	for _, e := range f.World.Entries {
+	for _, e := range f.Deployment.Entries {
 		f.Instances.Set(instances.Instance{Name: e.Name, Zone: e.Zone, State: instances.Live, Started: time.Now()})
 	}
 	return nil
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -197,7 +197,7 @@
 		for _, g := range file.Regions {
 			row := Region{Service: file.Service, Region: g.Name, Headroom: 1}
 			for i := range file.Servers {
-				if in, _ := f.World.Region(file.Servers[i].Zone); in == g.Name {
+				if in, _ := f.Deployment.Region(file.Servers[i].Zone); in == g.Name {
 					row.Slots += file.Servers[i].Slots
 				}
 			}
@@ -212,7 +212,7 @@
 		row := &rows[i]
 		used := 0
 		for _, s := range f.File(row.Service).Servers {
-			if in, _ := f.World.Region(s.Zone); in == row.Region {
+			if in, _ := f.Deployment.Region(s.Zone); in == row.Region {
 				used += f.Server(row.Service, s.Name).Load().Running
 			}
 		}
@@ -223,7 +223,7 @@
 
 func links(f *fleet.Fleet) []Link {
 	var out []Link
-	for _, l := range f.World.Links {
+	for _, l := range f.Deployment.Links {
 		budget := float64(l.Capacity) * l.Share
 		for i := range l.Between {
 			out = append(out, Link{From: l.Between[i], To: l.Between[1-i], Budget: budget, Headroom: 1})
@@ -268,7 +268,7 @@
 					continue
 				}
 				if s := file.Server(a.Server); s != nil {
-					if in, _ := f.World.Region(s.Zone); in == g.Name {
+					if in, _ := f.Deployment.Region(s.Zone); in == g.Name {
 						times = append(times, a.Ended)
 					}
 				}
--- a/internal/trial/system.go
+++ b/internal/trial/system.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	f.Ephemeral, f.Platform = true, netip.MustParseAddrPort(loopbackAny)
-	s := &system{fleet: f, network: &wan.Network{World: f.World}, log: log}
+	s := &system{fleet: f, network: &wan.Network{World: f.Deployment}, log: log}
 	if err := s.start(); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
@@ -84,7 +84,7 @@
 
 // assignAddresses assigns free loopback ports to all entries.
 func (s *system) assignAddresses() error {
-	world := s.fleet.World
+	world := s.fleet.Deployment
 	block, err := ports.Reserve(portsPerEntry * len(world.Entries))
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 // placeAddresses registers the addresses of the store, the entries and the backend
 // servers with their zones in the simulated network.
 func (s *system) placeAddresses() {
-	world := s.fleet.World
+	world := s.fleet.Deployment
 	for _, r := range world.Regions {
 		if r.Name == world.StoreRegion {
 			s.network.Place(s.fleet.Platform, r.Zones[0])
@@ -121,12 +121,12 @@
 
 func (s *system) startEntry(m *runningEntry) error {
 	e := m.entry
-	region, _ := s.fleet.World.Region(e.Zone)
+	region, _ := s.fleet.Deployment.Region(e.Zone)
 	from := func(ctx context.Context, to netip.AddrPort) (net.Conn, error) { return s.network.Dial(ctx, e.Zone, to) }
 	started := make(chan struct{})
 	m.daemon = &daemon.Daemon{
 		Settings: &settings.Settings{
-			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.World,
+			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.Deployment,
 			Listeners: settings.Listeners{Caller: e.Caller, Peer: e.Peer, Operator: m.operator},
 			Platform:  settings.Platform{Store: s.fleet.Platform},
 			Operators: []settings.Operator{{Name: "trial", Role: settings.Writer, Hash: settings.HashToken(token)}},
@@ -152,7 +152,7 @@
 
 func (s *system) dialPeer(from func(context.Context, netip.AddrPort) (net.Conn, error)) func(context.Context, id.Instance) (net.Conn, error) {
 	return func(ctx context.Context, to id.Instance) (net.Conn, error) {
-		for _, e := range s.fleet.World.Entries {
+		for _, e := range s.fleet.Deployment.Entries {
 			if e.Name == to {
 				return from(ctx, e.Peer)
 			}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -264,7 +264,7 @@
 	o.Attempts = r.attempts.all
 	o.Executions, o.ServerPeaks = r.readRecords()
 	o.Rises = maxRises(r.system.fleet, o.Attempts)
-	r.report.Deployment, r.report.Seed = r.system.fleet.World.Name, r.Seed
+	r.report.Deployment, r.report.Seed = r.system.fleet.Deployment.Name, r.Seed
 	r.report.Entries, r.report.Servers = len(r.system.entries), len(o.ServerPeaks)
 	r.report.Links, r.report.Versions = o.Links, o.Versions
 	r.report.Uploads, r.report.Shutdown = o.Uploads, o.Shutdown
