--- a/internal/standin/wan/network.go
+++ b/internal/standin/wan/network.go
@@ -23,8 +23,8 @@
 	// Network connects zones with the delays of a deployment. It is safe for
 	// concurrent use.
 	Network struct {
-		// World holds the zones and their delays.
-		World *deployment.Deployment
+		// Deployment holds the zones and their delays.
+		Deployment *deployment.Deployment
 
 		mu       sync.Mutex
 		zones    map[netip.AddrPort]id.Zone
@@ -50,8 +50,8 @@
 	}
 )
 
-// Place assigns the address to the zone.
-func (n *Network) Place(address netip.AddrPort, zone id.Zone) {
+// SetZone assigns the address to the zone.
+func (n *Network) SetZone(address netip.AddrPort, zone id.Zone) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.zones == nil {
@@ -68,14 +68,14 @@
 	if !ok {
 		return nil, eris.Errorf("address %s is not assigned to a zone", to)
 	}
-	a, _ := n.World.Region(from)
-	b, _ := n.World.Region(zone)
-	return n.dial(ctx, n.World.Delay(from, zone), to, Direction{From: a, To: b})
+	a, _ := n.Deployment.Region(from)
+	b, _ := n.Deployment.Region(zone)
+	return n.dial(ctx, n.Deployment.Delay(from, zone), to, Direction{From: a, To: b})
 }
 
-// Sent returns the number of bytes sent so far in each direction between two
+// SentBytes returns the number of bytes sent so far in each direction between two
 // regions, without traffic of clients.
-func (n *Network) Sent() map[Direction]int64 {
+func (n *Network) SentBytes() map[Direction]int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[Direction]int64{}
@@ -90,7 +90,7 @@
 // DialClient connects from a client to an entry's address, with the delay of
 // clients.
 func (n *Network) DialClient(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-	return n.dial(ctx, n.World.Delays.Clients.Std(), to, Direction{})
+	return n.dial(ctx, n.Deployment.Delays.Clients.Std(), to, Direction{})
 }
 
 // Close closes all relayed connections and prevents new ones.
--- a/internal/standin/wan/network_test.go
+++ b/internal/standin/wan/network_test.go
@@ -59,10 +59,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			n := &wan.Network{World: twoRegions()}
+			n := &wan.Network{Deployment: twoRegions()}
 			defer n.Close()
 			address := echo(t)
-			n.Place(address, "east-1")
+			n.SetZone(address, "east-1")
 			start := time.Now()
 			c, err := n.Dial(context.Background(), tt.from, address)
 			is.NoErr(err)
@@ -78,8 +78,8 @@
 			is.Equal(got[len(got)-1], byte(7))
 			is.True(time.Since(start) >= tt.min)
 			if tt.from == "west-1" {
-				is.Equal(n.Sent()[wan.Direction{From: "west", To: "east"}], int64(len(sent)))
-				is.Equal(n.Sent()[wan.Direction{From: "east", To: "west"}], int64(len(sent)))
+				is.Equal(n.SentBytes()[wan.Direction{From: "west", To: "east"}], int64(len(sent)))
+				is.Equal(n.SentBytes()[wan.Direction{From: "east", To: "west"}], int64(len(sent)))
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 
 func TestDialFailsForUnassignedAddress(t *testing.T) {
 	is := is.New(t)
-	n := &wan.Network{World: twoRegions()}
+	n := &wan.Network{Deployment: twoRegions()}
 	defer n.Close()
 	_, err := n.Dial(context.Background(), "east-1", netip.MustParseAddrPort("127.0.0.1:9"))
 	is.True(err != nil)
@@ -95,7 +95,7 @@
 
 func TestCloseClosesConnections(t *testing.T) {
 	is := is.New(t)
-	n := &wan.Network{World: twoRegions()}
+	n := &wan.Network{Deployment: twoRegions()}
 	c, err := n.DialClient(context.Background(), echo(t))
 	is.NoErr(err)
 	is.NoErr(n.Close())
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -177,10 +177,10 @@
 func (r *run) sampleHeadroom(ctx context.Context) {
 	r.report.Regions = regions(r.system.fleet)
 	r.observed.Links = links(r.system.fleet)
-	sent, at := r.system.network.Sent(), time.Now()
+	sent, at := r.system.network.SentBytes(), time.Now()
 	for sleep(ctx, sampleInterval) {
 		sampleRegions(r.system.fleet, r.report.Regions)
-		now, then := r.system.network.Sent(), time.Now()
+		now, then := r.system.network.SentBytes(), time.Now()
 		for i := range r.observed.Links {
 			l := &r.observed.Links[i]
 			d := wan.Direction{From: l.From, To: l.To}
--- a/internal/trial/system.go
+++ b/internal/trial/system.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	f.Ephemeral, f.Platform = true, netip.MustParseAddrPort(loopbackAny)
-	s := &system{fleet: f, network: &wan.Network{World: f.Deployment}, log: log}
+	s := &system{fleet: f, network: &wan.Network{Deployment: f.Deployment}, log: log}
 	if err := s.start(); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
@@ -105,16 +105,16 @@
 	world := s.fleet.Deployment
 	for _, r := range world.Regions {
 		if r.Name == world.StoreRegion {
-			s.network.Place(s.fleet.Platform, r.Zones[0])
+			s.network.SetZone(s.fleet.Platform, r.Zones[0])
 		}
 	}
 	for _, e := range world.Entries {
-		s.network.Place(e.Caller, e.Zone)
-		s.network.Place(e.Peer, e.Zone)
+		s.network.SetZone(e.Caller, e.Zone)
+		s.network.SetZone(e.Peer, e.Zone)
 	}
 	for _, f := range s.fleet.Files {
 		for i := range f.Servers {
-			s.network.Place(f.Servers[i].Address, f.Servers[i].Zone)
+			s.network.SetZone(f.Servers[i].Address, f.Servers[i].Zone)
 		}
 	}
 }
