--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -139,9 +139,9 @@
 	return f.latest
 }
 
-// Hint records that another entry has applied a change. If the watch doesn't deliver
+// Invalidate records that another entry has applied a change. If the watch doesn't deliver
 // it within StallTimeout, the objects are listed again.
-func (f *Follower) Hint(rev store.Version) {
+func (f *Follower) Invalidate(rev store.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if rev <= f.covered || rev <= f.invalidation {
@@ -156,17 +156,17 @@
 	time.AfterFunc(f.StallTimeout, func() { f.checkStalled(rev) })
 }
 
-// Missing reports whether the store is unavailable and this entry lacks state that a
+// NeedsPeerState reports whether the store is unavailable and this entry lacks state that a
 // peer may have: it has none at all, or another entry has applied a later change.
-func (f *Follower) Missing() bool {
+func (f *Follower) NeedsPeerState() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unavailable && (f.latest == 0 || f.invalidation > f.latest)
 }
 
-// Adopt calls take to apply the state of another entry as of a version. It returns
+// Bootstrap calls take to apply the state of another entry as of a version. It returns
 // false, without calling take, if this entry's own state is at least as recent.
-func (f *Follower) Adopt(version store.Version, take func()) bool {
+func (f *Follower) Bootstrap(version store.Version, take func()) bool {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -198,9 +198,9 @@
 	return now.Sub(f.answeredAt)
 }
 
-// Steady returns for how long the store has been available without interruption;
+// AvailableFor returns for how long the store has been available without interruption;
 // 0 if it is unavailable or its last answer is older than ShortWait + Timeout.
-func (f *Follower) Steady(now time.Time) time.Duration {
+func (f *Follower) AvailableFor(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unavailable || now.Sub(f.answeredAt) > f.ShortWait+f.Timeout {
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -128,17 +128,17 @@
 				time.Sleep(10 * time.Second)
 				fd.set(true, 0)
 				time.Sleep(10 * time.Second)
-				f.Hint(tt.hint)
+				f.Invalidate(tt.hint)
 				time.Sleep(10 * time.Second)
-				is.Equal(f.Missing(), tt.missing)
-				is.Equal(f.Adopt(tt.adopt, func() { s.set("adopted") }), tt.adopted)
+				is.Equal(f.NeedsPeerState(), tt.missing)
+				is.Equal(f.Bootstrap(tt.adopt, func() { s.set("adopted") }), tt.adopted)
 				is.Equal(len(s.has()) > 0 && s.has()[0] == "adopted", tt.adopted)
 				// The store takes precedence over another entry.
 				fd.set(false, 9, "listed again")
 				time.Sleep(10 * time.Second)
 				is.Equal(s.has(), []string{"listed again"})
-				is.True(!f.Missing())
-				is.True(!f.Adopt(8, func() { s.set("adopted late") }))
+				is.True(!f.NeedsPeerState())
+				is.True(!f.Bootstrap(8, func() { s.set("adopted late") }))
 				is.Equal(s.has(), []string{"listed again"})
 				cancel()
 				synctest.Wait()
@@ -153,7 +153,7 @@
 	var got store.Version
 	f.Capture(func(v store.Version) { got = v })
 	is.Equal(got, store.Version(0)) // no state has been applied
-	is.True(f.Adopt(7, func() {}))
+	is.True(f.Bootstrap(7, func() {}))
 	f.Capture(func(v store.Version) { got = v })
 	is.Equal(got, store.Version(7))
 }
--- a/internal/follow/group.go
+++ b/internal/follow/group.go
@@ -29,21 +29,21 @@
 	return out
 }
 
-// Hint records the versions of the newest changes that another entry has applied.
-func (g Group) Hint(changes map[Kind]store.Version) {
+// Invalidate records the versions of the newest changes that another entry has applied.
+func (g Group) Invalidate(changes map[Kind]store.Version) {
 	for kind, version := range changes {
 		if f := g[kind]; f != nil {
-			f.Hint(version)
+			f.Invalidate(version)
 		}
 	}
 }
 
-// Missing returns the kinds for which this entry lacks state that a peer may have
+// NeedsPeerState returns the kinds for which this entry lacks state that a peer may have
 // while the store is unavailable, with the version of the newest applied change.
-func (g Group) Missing() map[Kind]store.Version {
+func (g Group) NeedsPeerState() map[Kind]store.Version {
 	var out map[Kind]store.Version
 	for kind, f := range g {
-		if f.Missing() {
+		if f.NeedsPeerState() {
 			if out == nil {
 				out = make(map[Kind]store.Version)
 			}
@@ -62,11 +62,11 @@
 	return 0
 }
 
-// Steady returns for how long the store has been available without interruption for
+// AvailableFor returns for how long the store has been available without interruption for
 // a kind, 0 if the kind isn't followed.
-func (g Group) Steady(kind Kind, now time.Time) time.Duration {
+func (g Group) AvailableFor(kind Kind, now time.Time) time.Duration {
 	if f := g[kind]; f != nil {
-		return f.Steady(now)
+		return f.AvailableFor(now)
 	}
 	return 0
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -229,7 +229,7 @@
 	self := n.options.Self
 	self.Ready = n.Ready()
 	self.Changes = n.options.Store.Changes()
-	self.Steady = n.options.Store.Steady(follow.Servers, time.Now())
+	self.Steady = n.options.Store.AvailableFor(follow.Servers, time.Now())
 	if n.Quarantine.Active() {
 		self.Crashes = n.Quarantine.Reports(time.Now(), beacon.MaxCrashes)
 	}
@@ -238,7 +238,7 @@
 
 // onUpdate applies an update from a heartbeat of another entry.
 func (n *Node) onUpdate(now time.Time, update beacon.News) {
-	n.options.Store.Hint(update.Changes)
+	n.options.Store.Invalidate(update.Changes)
 	for _, crash := range update.Crashes {
 		n.Quarantine.Apply(now, crash)
 	}
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -65,7 +65,7 @@
 		case <-time.After(pause):
 		}
 		pause = bootstrapInterval
-		missing := n.options.Store.Missing()
+		missing := n.options.Store.NeedsPeerState()
 		if len(missing) == 0 {
 			continue
 		}
@@ -143,13 +143,13 @@
 	}
 	n.EntriesListed()
 	if p := s.Configuration; p != nil && p.Value != nil && followers[follow.Configuration] != nil {
-		followers[follow.Configuration].Adopt(p.Version, func() { n.Configure(p.Value) })
+		followers[follow.Configuration].Bootstrap(p.Version, func() { n.Configure(p.Value) })
 	}
 	if p := s.EvacuatedZones; p != nil && followers[follow.EvacuatedZones] != nil {
-		followers[follow.EvacuatedZones].Adopt(p.Version, func() { n.Roster.SetEvacuated(now, zoneSet(p.Value)) })
+		followers[follow.EvacuatedZones].Bootstrap(p.Version, func() { n.Roster.SetEvacuated(now, zoneSet(p.Value)) })
 	}
 	if p := s.Servers; p != nil && followers[follow.Servers] != nil {
-		followers[follow.Servers].Adopt(p.Version, func() {
+		followers[follow.Servers].Bootstrap(p.Version, func() {
 			n.Roster.Replace(now, p.Value)
 			n.Listed()
 		})
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -64,14 +64,14 @@
 	first, second := start("entry-1"), start("entry-2")
 	now := time.Now()
 	group := first.Store()
-	group[follow.Configuration].Adopt(4, func() { first.Configure(configOf(7, "/x/")) })
-	group[follow.EvacuatedZones].Adopt(5, func() { first.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true}) })
+	group[follow.Configuration].Bootstrap(4, func() { first.Configure(configOf(7, "/x/")) })
+	group[follow.EvacuatedZones].Bootstrap(5, func() { first.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true}) })
 	servers := []roster.Server{
 		{Name: "i-1", Service: svc, Address: "127.0.0.1:1", Zone: "a-1", Region: "a", Slots: 6, StartedAt: 12},
 		{Name: "i-2", Service: svc, Address: "127.0.0.1:2", Zone: "b-1", Region: "b", Slots: 6},
 		{Name: "i-3", Service: svc, Address: "127.0.0.1:3", Zone: "a-1", Region: "a", Slots: 6, Leaving: true},
 	}
-	group[follow.Servers].Adopt(6, func() {
+	group[follow.Servers].Bootstrap(6, func() {
 		first.Roster.Replace(now, servers)
 		first.Listed()
 	})
@@ -88,7 +88,7 @@
 	is.Equal(len(second.Roster.View().Members(svc)), 1) // neither evacuated nor leaving
 	is.Equal(second.Self().Changes[follow.Servers], store.Version(6))
 	// A change that only the first entry receives is relayed to the second.
-	group[follow.Servers].Adopt(9, func() { first.Roster.Remove(time.Now(), "i-1") })
+	group[follow.Servers].Bootstrap(9, func() { first.Roster.Remove(time.Now(), "i-1") })
 	for end := time.Now().Add(3 * time.Second); len(second.Roster.Servers(now)) > 2 && time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
 	}
