--- a/internal/beacon/beacon.go
+++ b/internal/beacon/beacon.go
@@ -45,9 +45,9 @@
 )
 
 const (
-	// MaxCrashes is the maximum number of crash reports in a heartbeat, so that
+	// MaxCrashReports is the maximum number of crash reports in a heartbeat, so that
 	// it fits into one packet.
-	MaxCrashes = 3
+	MaxCrashReports = 3
 	// leadersPerZone is the number of leaders per zone: with two, one may fail without
 	// interrupting the exchange.
 	leadersPerZone = 2
@@ -87,15 +87,15 @@
 		// has applied, by kind of object. This field and the following ones are
 		// not relayed.
 		Changes map[follow.Kind]store.Version
-		// Steady is for how long the store has been available to the entry without
+		// StoreAvailableFor is for how long the store has been available to the entry without
 		// interruption; 0 if it is unavailable or the entry has no recent answer.
-		Steady time.Duration
+		StoreAvailableFor time.Duration
 		// Crashes holds the latest reports of requests that crash servers.
 		Crashes []quarantine.CrashReport
 	}
 
-	// News is the content of a heartbeat beside the liveness of entries.
-	News struct {
+	// Update is the content of a heartbeat beside the liveness of entries.
+	Update struct {
 		// Changes holds the versions of the newest store changes known to the
 		// sender, received from the store or from other entries.
 		Changes map[follow.Kind]store.Version
@@ -103,10 +103,10 @@
 		Crashes []quarantine.CrashReport
 	}
 
-	// Beacon sends and receives heartbeats and keeps the set of live entries.
+	// Detector sends and receives heartbeats and keeps the set of live entries.
 	// The exported fields must be set before first use. It is safe for
 	// concurrent use.
-	Beacon struct {
+	Detector struct {
 		// Self returns this entry's own state.
 		Self func() Node
 		// Interval is the time between two heartbeats to the same entry.
@@ -116,7 +116,7 @@
 		Timeout time.Duration
 		// Heard, if not nil, is called with the content of each accepted
 		// heartbeat.
-		Heard func(now time.Time, news News)
+		OnUpdate func(now time.Time, news Update)
 		// Log receives a line for each entry that becomes alive, changes or falls
 		// silent.
 		Log *slog.Logger
@@ -139,8 +139,8 @@
 	}
 )
 
-// Meet adds an entry's address, and its availability zone unless that is empty.
-func (b *Beacon) Meet(zone id.Zone, addr netip.AddrPort) {
+// AddPeer adds an entry's address, and its availability zone unless that is empty.
+func (b *Detector) AddPeer(zone id.Zone, addr netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.peer(addr); p.zone == "" && zone != "" {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Forget removes the addresses for which keep returns false and that are silent.
-func (b *Beacon) Forget(now time.Time, keep func(netip.AddrPort) bool) {
+// PrunePeers removes the addresses for which keep returns false and that are silent.
+func (b *Detector) PrunePeers(now time.Time, keep func(netip.AddrPort) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for addr, p := range b.peers {
@@ -161,9 +161,9 @@
 	}
 }
 
-// Silent returns the time since an entry's latest heartbeat, and false if there
+// SilentFor returns the time since an entry's latest heartbeat, and false if there
 // was none.
-func (b *Beacon) Silent(now time.Time, addr netip.AddrPort) (time.Duration, bool) {
+func (b *Detector) SilentFor(now time.Time, addr netip.AddrPort) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[addr]
@@ -173,8 +173,8 @@
 	return now.Sub(p.lastSeen), true
 }
 
-// Known returns the addresses of all other known entries, alive or not, in order.
-func (b *Beacon) Known() []netip.AddrPort {
+// KnownPeers returns the addresses of all other known entries, alive or not, in order.
+func (b *Detector) KnownPeers() []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]netip.AddrPort, 0, len(b.peers))
@@ -186,7 +186,7 @@
 }
 
 // Alive returns the other entries that are alive, sorted by name.
-func (b *Beacon) Alive(now time.Time) []Node {
+func (b *Detector) Alive(now time.Time) []Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Node
@@ -196,7 +196,7 @@
 		}
 		n := p.node
 		if now.Sub(p.lastDirect) > b.Timeout {
-			n.Steady = 0 // outdated, as it isn't relayed
+			n.StoreAvailableFor = 0 // outdated, as it isn't relayed
 		}
 		out = append(out, n)
 	}
@@ -205,7 +205,7 @@
 }
 
 // Run sends and receives until ctx ends.
-func (b *Beacon) Run(ctx context.Context, conn net.PacketConn) error {
+func (b *Detector) Run(ctx context.Context, conn net.PacketConn) error {
 	b.mu.Lock()
 	b.urgent = make(chan struct{}, 1)
 	b.mu.Unlock()
@@ -236,12 +236,12 @@
 }
 
 // Announce sends a heartbeat to all of this entry's targets immediately.
-func (b *Beacon) Announce(conn net.PacketConn) {
+func (b *Detector) Announce(conn net.PacketConn) {
 	now := time.Now()
 	b.write(conn, b.compose(now), b.targets(now))
 }
 
-func (b *Beacon) send(ctx context.Context, conn net.PacketConn) {
+func (b *Detector) send(ctx context.Context, conn net.PacketConn) {
 	tick := time.NewTicker(b.Interval)
 	defer tick.Stop()
 	for {
@@ -268,7 +268,7 @@
 }
 
 // compose builds a heartbeat.
-func (b *Beacon) compose(now time.Time) *message {
+func (b *Detector) compose(now time.Time) *message {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -283,7 +283,7 @@
 	return m
 }
 
-func (b *Beacon) write(conn net.PacketConn, m *message, to []netip.AddrPort) {
+func (b *Detector) write(conn net.PacketConn, m *message, to []netip.AddrPort) {
 	data, err := encode(m)
 	if err != nil {
 		b.Log.Error("heartbeat not encoded", "err", err)
@@ -296,7 +296,7 @@
 }
 
 // receive applies a received heartbeat. It returns false if the heartbeat is dropped.
-func (b *Beacon) receive(now time.Time, m *message) bool {
+func (b *Detector) receive(now time.Time, m *message) bool {
 	self := b.Self()
 	if !m.From.valid() || m.From.Peers == self.Peers {
 		return false
@@ -321,14 +321,14 @@
 		}
 	}
 	b.mu.Unlock()
-	if b.Heard != nil {
-		b.Heard(now, News{Changes: m.Invalidations, Crashes: m.From.Crashes})
+	if b.OnUpdate != nil {
+		b.OnUpdate(now, Update{Changes: m.Invalidations, Crashes: m.From.Crashes})
 	}
 	return true
 }
 
 // applyRelayed applies the relayed state of an entry.
-func (b *Beacon) applyRelayed(now time.Time, self *Node, r *relayedNode) {
+func (b *Detector) applyRelayed(now time.Time, self *Node, r *relayedNode) {
 	if !r.Node.valid() || r.Node.Peers == self.Peers || r.Age < 0 || r.Age > b.Timeout+relayAllowance {
 		return
 	}
@@ -341,7 +341,7 @@
 
 // apply applies an entry's state as of the time at. It reports whether this changes
 // which entries may be used.
-func (b *Beacon) apply(now time.Time, p *peer, n *Node, at time.Time) bool {
+func (b *Detector) apply(now time.Time, p *peer, n *Node, at time.Time) bool {
 	newer := n.Incarnation > p.node.Incarnation || n.Count >= p.node.Count
 	changed := newer && (n.Incarnation != p.node.Incarnation || n.Ready != p.node.Ready) || !b.isAlive(p, now)
 	if changed {
@@ -358,7 +358,7 @@
 		p.node, p.zone = *n, n.Zone
 		if n.Changes == nil && kept.Incarnation == n.Incarnation {
 			// Relayed reports omit these fields.
-			p.node.Changes, p.node.Steady, p.node.Crashes = kept.Changes, kept.Steady, kept.Crashes
+			p.node.Changes, p.node.StoreAvailableFor, p.node.Crashes = kept.Changes, kept.StoreAvailableFor, kept.Crashes
 		}
 	}
 	if at.After(p.lastSeen) {
@@ -371,7 +371,7 @@
 // confirm refreshes the entries of the zones whose digest equals this entry's own.
 // Ages refer to the heartbeats of the entries themselves, so reports that circulate
 // among leaders don't keep a stopped entry alive.
-func (b *Beacon) confirm(now time.Time, self *Node, m *message) {
+func (b *Detector) confirm(now time.Time, self *Node, m *message) {
 	for _, z := range m.Zones {
 		ours := b.zone(now, self, z.Zone)
 		if z.Age < 0 || z.Age > b.Timeout+relayAllowance || z.Digest != ours.digest {
@@ -386,7 +386,7 @@
 }
 
 // mergeInvalidations merges the versions of store changes, and reports whether any is newer.
-func (b *Beacon) mergeInvalidations(changes map[follow.Kind]store.Version) bool {
+func (b *Detector) mergeInvalidations(changes map[follow.Kind]store.Version) bool {
 	raised := false
 	for kind, version := range changes {
 		if version > b.invalidations[kind] {
@@ -400,7 +400,7 @@
 }
 
 // logSilent logs the entries that have become silent.
-func (b *Beacon) logSilent(now time.Time) {
+func (b *Detector) logSilent(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for addr, p := range b.peers {
@@ -411,7 +411,7 @@
 	}
 }
 
-func (b *Beacon) peer(addr netip.AddrPort) *peer {
+func (b *Detector) peer(addr netip.AddrPort) *peer {
 	if b.peers == nil {
 		b.peers = make(map[netip.AddrPort]*peer)
 	}
@@ -423,7 +423,7 @@
 	return p
 }
 
-func (b *Beacon) isAlive(p *peer, now time.Time) bool {
+func (b *Detector) isAlive(p *peer, now time.Time) bool {
 	limit := b.Timeout
 	if p.lastSeen.Sub(p.lastDirect) > b.Interval {
 		// A smaller difference is just the delay of a relayed report.
--- a/internal/beacon/beacon_test.go
+++ b/internal/beacon/beacon_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-func newDetector() *beacon.Beacon {
-	return &beacon.Beacon{
+func newDetector() *beacon.Detector {
+	return &beacon.Detector{
 		Self: func() beacon.Node { return node(1, 1) }, Interval: 500 * time.Millisecond, Timeout: timeout,
 		Log: slog.New(slog.DiscardHandler),
 	}
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	b := newDetector()
 	var received []int
-	b.Heard = func(_ time.Time, u beacon.News) { received = append(received, len(u.Crashes)) }
+	b.OnUpdate = func(_ time.Time, u beacon.Update) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
 	late.Crashes = make([]quarantine.CrashReport, 1)
 	b.Receive(start, node(2, 2))
@@ -82,7 +82,7 @@
 func TestAnnounceBeforeRun(t *testing.T) {
 	is := is.New(t)
 	b := newDetector()
-	b.Meet("a-1", node(2, 1).Peers)
+	b.AddPeer("a-1", node(2, 1).Peers)
 	n := network{node(2, 1).Peers.String(): make(chan []byte, 1)}
 	b.Announce(&packetConn{network: n})
 	is.Equal(len(n[node(2, 1).Peers.String()]), 1)
@@ -127,7 +127,7 @@
 		defer cancel()
 		const entries = 3
 		n := network{}
-		var all []*beacon.Beacon
+		var all []*beacon.Detector
 		for i := 1; i <= entries; i++ {
 			self := node(i, 1)
 			n[self.Peers.String()] = make(chan []byte, 100)
@@ -136,8 +136,8 @@
 			all = append(all, b)
 		}
 		// Only the first entry knows the addresses of the others.
-		all[0].Meet("a-1", node(2, 1).Peers)
-		all[0].Meet("a-1", node(3, 1).Peers)
+		all[0].AddPeer("a-1", node(2, 1).Peers)
+		all[0].AddPeer("a-1", node(3, 1).Peers)
 		for i, b := range all {
 			conn := &packetConn{network: n, address: node(i+1, 1).Peers.String(), ended: make(chan struct{})}
 			go func() { _ = b.Run(ctx, conn) }()
--- a/internal/beacon/export_test.go
+++ b/internal/beacon/export_test.go
@@ -3,4 +3,4 @@
 import "time"
 
 // Receive applies a heartbeat without zones and entries.
-func (b *Beacon) Receive(now time.Time, n Node) { b.receive(now, &message{Format: format, From: n}) }
+func (b *Detector) Receive(now time.Time, n Node) { b.receive(now, &message{Format: format, From: n}) }
--- a/internal/beacon/many_test.go
+++ b/internal/beacon/many_test.go
@@ -48,7 +48,7 @@
 	member struct {
 		deployment *deployment
 		self       beacon.Node
-		detector   *beacon.Beacon
+		detector   *beacon.Detector
 		inbox      chan []byte
 		cancel     context.CancelFunc
 		sent       atomic.Int64
@@ -115,19 +115,19 @@
 // start starts an entry that knows the addresses of all others.
 func (d *deployment) start(ctx context.Context, m *member) {
 	starts := m.starts.Add(1)
-	m.detector = &beacon.Beacon{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+	m.detector = &beacon.Detector{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
 	m.detector.Self = func() beacon.Node {
 		self := m.self
 		self.Ready, self.Incarnation = m.ready.Load(), id.Incarnation(starts)
 		self.Changes = map[follow.Kind]store.Version{follow.Servers: store.Version(m.change.Load())}
 		return self
 	}
-	m.detector.Heard = func(_ time.Time, u beacon.News) {
+	m.detector.OnUpdate = func(_ time.Time, u beacon.Update) {
 		m.received.Store(max(m.received.Load(), uint64(u.Changes[follow.Servers])))
 	}
 	for _, other := range d.entries {
 		if other != m {
-			m.detector.Meet(other.self.Zone, other.self.Peers)
+			m.detector.AddPeer(other.self.Zone, other.self.Peers)
 		}
 	}
 	ctx, m.cancel = context.WithCancel(ctx)
@@ -173,7 +173,7 @@
 		}
 		for _, other := range d.entries {
 			if other != m && !known[other.self.Instance] {
-				silent, _ := m.detector.Silent(time.Now(), other.self.Peers)
+				silent, _ := m.detector.SilentFor(time.Now(), other.self.Peers)
 				return fmt.Sprintf("%s doesn't regard %s as alive, silent for %v", m.self.Instance, other.self.Instance, silent)
 			}
 		}
--- a/internal/beacon/zone.go
+++ b/internal/beacon/zone.go
@@ -40,7 +40,7 @@
 )
 
 // current returns the cached view, or a new one if it is outdated.
-func (b *Beacon) current(now time.Time, self *Node) *view {
+func (b *Detector) current(now time.Time, self *Node) *view {
 	if v := b.view; v == nil || now.Sub(v.at) >= viewTTL || v.ready != self.Ready {
 		b.view = b.buildView(now, self)
 	}
@@ -48,7 +48,7 @@
 }
 
 // zone returns the live entries of a zone.
-func (b *Beacon) zone(now time.Time, self *Node, zone id.Zone) *zoneView {
+func (b *Detector) zone(now time.Time, self *Node, zone id.Zone) *zoneView {
 	if z := b.current(now, self).zones[zone]; z != nil {
 		return z
 	}
@@ -56,7 +56,7 @@
 }
 
 // buildView builds a view.
-func (b *Beacon) buildView(now time.Time, self *Node) *view {
+func (b *Detector) buildView(now time.Time, self *Node) *view {
 	v := &view{at: now, ready: self.Ready, zones: make(map[id.Zone]*zoneView)}
 	names := map[id.Zone]bool{self.Zone: true}
 	v.add(self)
@@ -101,7 +101,7 @@
 }
 
 // leadersOf returns the addresses of a zone's leaders, excluding this entry.
-func (b *Beacon) leadersOf(now time.Time, self *Node, zone id.Zone) []netip.AddrPort {
+func (b *Detector) leadersOf(now time.Time, self *Node, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, n := range leadersAmong(b.zone(now, self, zone).members) {
 		if n.Peers != self.Peers {
@@ -112,14 +112,14 @@
 }
 
 // isLeader reports whether this entry is a leader of its zone.
-func (b *Beacon) isLeader(now time.Time, self *Node) bool {
+func (b *Detector) isLeader(now time.Time, self *Node) bool {
 	return slices.ContainsFunc(leadersAmong(b.zone(now, self, self.Zone).members), func(n *Node) bool { return n.Peers == self.Peers })
 }
 
 func leadersAmong(members []*Node) []*Node { return members[:min(len(members), leadersPerZone)] }
 
 // zoneStates summarizes all zones.
-func (b *Beacon) zoneStates(now time.Time, self *Node) []zoneState {
+func (b *Detector) zoneStates(now time.Time, self *Node) []zoneState {
 	var out []zoneState
 	for _, zone := range b.current(now, self).names {
 		if zone == "" {
@@ -139,7 +139,7 @@
 // zone, or, for a leader, all entries of its zone and the leaders of the others.
 // One silent entry per zone is added in rotation, so that entries discover each
 // other.
-func (b *Beacon) targets(now time.Time) []netip.AddrPort {
+func (b *Detector) targets(now time.Time) []netip.AddrPort {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,7 +169,7 @@
 // relayTargets returns the recipients to which a leader relays a change immediately: the
 // entries of its zone that are not leaders, which receive only relayed reports about
 // other entries, and the leaders of other zones.
-func (b *Beacon) relayTargets(now time.Time) []netip.AddrPort {
+func (b *Detector) relayTargets(now time.Time) []netip.AddrPort {
 	self := b.Self()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // silentIn returns the known addresses of a zone that are not alive, in order.
-func (b *Beacon) silentIn(now time.Time, zone id.Zone) []netip.AddrPort {
+func (b *Detector) silentIn(now time.Time, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
 	for addr, p := range b.peers {
 		if p.zone == zone && !b.isAlive(p, now) {
@@ -205,7 +205,7 @@
 // heartbeat: of its own zone, and of all zones if the sender is in its zone. An
 // entry that is no leader answers too, since only senders with an outdated view
 // send heartbeats to it. Messages that carry a list are not answered.
-func (b *Beacon) answer(now time.Time, conn net.PacketConn, m *message) {
+func (b *Detector) answer(now time.Time, conn net.PacketConn, m *message) {
 	self := b.Self()
 	var lists [][]relayedNode
 	b.mu.Lock()
@@ -228,16 +228,16 @@
 }
 
 // relayedNodes returns the live entries of a zone in chunks that fit into datagrams.
-func (b *Beacon) relayedNodes(now time.Time, self *Node, zone id.Zone) [][]relayedNode {
+func (b *Detector) relayedNodes(now time.Time, self *Node, zone id.Zone) [][]relayedNode {
 	var all []relayedNode
 	for _, p := range b.zone(now, self, zone).others {
 		n := p.node
-		n.Changes, n.Steady, n.Crashes = nil, 0, nil
+		n.Changes, n.StoreAvailableFor, n.Crashes = nil, 0, nil
 		all = append(all, relayedNode{Node: n, Age: now.Sub(p.lastSeen)})
 	}
 	if zone == self.Zone {
 		n := *self
-		n.Changes, n.Steady, n.Crashes = nil, 0, nil
+		n.Changes, n.StoreAvailableFor, n.Crashes = nil, 0, nil
 		n.Count = b.count
 		all = append(all, relayedNode{Node: n})
 	}
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -19,7 +19,7 @@
 	self := n.Self()
 	b := &beliefs.View{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
-		Running: n.handler.Running(), Known: len(n.Beacon.Known()), EvacuatedZones: n.Roster.Evacuated(),
+		Running: n.handler.Running(), Known: len(n.Beacon.KnownPeers()), EvacuatedZones: n.Roster.Evacuated(),
 		Quarantined: len(n.Quarantine.Entries(now)),
 	}
 	if c := n.config.Load(); c != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,7 +144,7 @@
 		// Quarantine holds the requests that crash servers.
 		Quarantine *quarantine.List
 		// Beacon exchanges heartbeats with the other entries.
-		Beacon *beacon.Beacon
+		Beacon *beacon.Detector
 
 		options       Options
 		bounds        atomic.Pointer[Bounds]
@@ -170,7 +170,7 @@
 	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.Lapse, Log: o.Log}}
 	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestID: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
-	n.Beacon = &beacon.Beacon{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, Heard: n.onUpdate, Log: o.Log}
+	n.Beacon = &beacon.Detector{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, OnUpdate: n.onUpdate, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
 	n.handler = &forward.Handler{
 		Config: n.forwardConfig, Dispatcher: n.dispatcher, Upstream: n.upstream,
@@ -229,15 +229,15 @@
 	self := n.options.Self
 	self.Ready = n.Ready()
 	self.Changes = n.options.Store.Changes()
-	self.Steady = n.options.Store.AvailableFor(follow.Servers, time.Now())
+	self.StoreAvailableFor = n.options.Store.AvailableFor(follow.Servers, time.Now())
 	if n.Quarantine.Active() {
-		self.Crashes = n.Quarantine.Reports(time.Now(), beacon.MaxCrashes)
+		self.Crashes = n.Quarantine.Reports(time.Now(), beacon.MaxCrashReports)
 	}
 	return self
 }
 
 // onUpdate applies an update from a heartbeat of another entry.
-func (n *Node) onUpdate(now time.Time, update beacon.News) {
+func (n *Node) onUpdate(now time.Time, update beacon.Update) {
 	n.options.Store.Invalidate(update.Changes)
 	for _, crash := range update.Crashes {
 		n.Quarantine.Apply(now, crash)
@@ -249,7 +249,7 @@
 func (n *Node) OthersSteady(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, other := range n.Beacon.Alive(now) {
-		longest = max(longest, other.Steady)
+		longest = max(longest, other.StoreAvailableFor)
 	}
 	return longest
 }
@@ -397,7 +397,7 @@
 		case now := <-t.C:
 			n.Roster.Step(now)
 			if n.mayUseColdRates(now) {
-				n.Roster.SetEntries(n.options.Self.Peers, n.Beacon.Known())
+				n.Roster.SetEntries(n.options.Self.Peers, n.Beacon.KnownPeers())
 			}
 			n.checkConnections(ctx, now)
 			n.upstream.CloseIdle(now)
@@ -440,6 +440,6 @@
 // retryLimits returns this entry's share of the retry limits.
 func (n *Node) retryLimits() forward.Resends {
 	r := n.bounds.Load().Resends
-	entries := float64(len(n.Beacon.Known()) + 1)
+	entries := float64(len(n.Beacon.KnownPeers()) + 1)
 	return forward.Resends{Share: r.Share * retryBudgetShare, Allowance: r.Allowance * retryBudgetShare / entries}
 }
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -138,7 +138,7 @@
 	followers := n.options.Store
 	for _, addr := range s.Entries {
 		if addr.IsValid() && addr != n.options.Self.Peers {
-			n.Beacon.Meet("", addr)
+			n.Beacon.AddPeer("", addr)
 		}
 	}
 	n.EntriesListed()
@@ -163,7 +163,7 @@
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, eris.Wrap(err, "decode snapshot request")
 	}
-	s := &snapshot{Entries: append(n.Beacon.Known(), n.options.Self.Peers)}
+	s := &snapshot{Entries: append(n.Beacon.KnownPeers(), n.options.Self.Peers)}
 	n.ifNewer(&req, follow.Configuration, func(v store.Version) {
 		if c := n.config.Load(); c != nil {
 			s.Configuration = &versioned[*Config]{v, c}
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -75,7 +75,7 @@
 		first.Roster.Replace(now, servers)
 		first.Listed()
 	})
-	first.Beacon.Meet(second.Self().Zone, second.Self().Peers)
+	first.Beacon.AddPeer(second.Self().Zone, second.Self().Peers)
 	for _, n := range []*node.Node{first, second} {
 		go func() { ended <- n.Run(ctx) }()
 	}
