--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -70,9 +70,9 @@
 		Signature string
 	}
 
-	// Resends limits the retries to a service, as this entry's share of the limit
+	// RetryLimits limits the retries to a service, as this entry's share of the limit
 	// for all entries.
-	Resends struct {
+	RetryLimits struct {
 		// Share is the fraction of a service's requests that may be retried.
 		Share float64
 		// Allowance is the number of retries allowed in addition per
@@ -92,7 +92,7 @@
 		// Quarantine blocks requests that crash servers.
 		Quarantine *quarantine.List
 		// RetryLimits returns the current limits on retries.
-		RetryLimits func() Resends
+		RetryLimits func() RetryLimits
 		// Leaving reports whether the entry is shutting down, so that callers are
 		// asked to close their connections.
 		Leaving func() bool
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -151,7 +151,7 @@
 		Config: func() *forward.Config { return config }, Dispatcher: &dispatch.Dispatcher{Roster: r},
 		Upstream:    &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: time.Second, NonIdempotentIdleTimeout: time.Second, RequestID: "X-Id"},
 		Quarantine:  &quarantine.List{Instance: "e-1", Tolerated: 2},
-		RetryLimits: func() forward.Resends { return forward.Resends{Allowance: 10} },
+		RetryLimits: func() forward.RetryLimits { return forward.RetryLimits{Allowance: 10} },
 		Leaving:     func() bool { return false },
 		Headers: forward.Headers{
 			RequestID: "X-Id", Deadline: "X-Left", Object: "Object", Expect: "X-Expect", NotRun: "X-Not-Run", Signature: "X-Signed",
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,7 +102,7 @@
 		// the process is killed.
 		Grace time.Duration
 		// Resends limits the retries of all entries together.
-		Resends forward.Resends
+		Resends forward.RetryLimits
 		// Cold limits what all entries together send to a cold server.
 		Cold roster.ColdBound
 	}
@@ -438,8 +438,8 @@
 func (n *Node) storeAge() time.Duration { return n.options.Store.Age(follow.Servers, time.Now()) }
 
 // retryLimits returns this entry's share of the retry limits.
-func (n *Node) retryLimits() forward.Resends {
+func (n *Node) retryLimits() forward.RetryLimits {
 	r := n.bounds.Load().Resends
 	entries := float64(len(n.Beacon.KnownPeers()) + 1)
-	return forward.Resends{Share: r.Share * retryBudgetShare, Allowance: r.Allowance * retryBudgetShare / entries}
+	return forward.RetryLimits{Share: r.Share * retryBudgetShare, Allowance: r.Allowance * retryBudgetShare / entries}
 }
