--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -19,7 +19,7 @@
 	self := n.Self()
 	b := &beliefs.View{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
-		Running: n.handler.Running(), Known: len(n.Beacon.KnownPeers()), EvacuatedZones: n.Roster.Evacuated(),
+		Running: n.handler.Running(), Known: len(n.Heartbeats.KnownPeers()), EvacuatedZones: n.Roster.Evacuated(),
 		Quarantined: len(n.Quarantine.Entries(now)),
 	}
 	if c := n.config.Load(); c != nil {
@@ -29,7 +29,7 @@
 		b.Store = append(b.Store, beliefs.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
 	}
 	slices.SortFunc(b.Store, func(x, y beliefs.StoreState) int { return strings.Compare(x.Name, y.Name) })
-	for _, other := range n.Beacon.Alive(now) {
+	for _, other := range n.Heartbeats.Alive(now) {
 		b.Entries = append(b.Entries, other.Instance)
 	}
 	for _, m := range n.Roster.All() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -92,8 +92,8 @@
 		forward.Config
 		// Services holds the server settings of each service.
 		Services map[id.Service]roster.ServiceConfig `json:"services"`
-		// Idle is the idle timeout of callers' connections.
-		Idle time.Duration `json:"idle"`
+		// IdleTimeout is the idle timeout of callers' connections.
+		IdleTimeout time.Duration `json:"idle"`
 	}
 
 	// Bounds are limits that may change while an entry runs.
@@ -101,8 +101,8 @@
 		// Grace is the grace period of a shutdown: the time from the stop signal until
 		// the process is killed.
 		Grace time.Duration
-		// Resends limits the retries of all entries together.
-		Resends forward.RetryLimits
+		// RetryLimits limits the retries of all entries together.
+		RetryLimits forward.RetryLimits
 		// Cold limits what all entries together send to a cold server.
 		Cold roster.ColdBound
 	}
@@ -111,21 +111,21 @@
 	Options struct {
 		// Self describes this entry to the other entries.
 		Self beacon.Node
-		// Lapse is how long a server that is missing from the store is kept after the
+		// MissingServerGrace is how long a server that is missing from the store is kept after the
 		// store is available again.
-		Lapse time.Duration
-		// BeaconInterval is the interval between heartbeats to one entry.
-		BeaconInterval time.Duration
-		// BeaconTimeout is how long after its last heartbeat an entry still counts as
+		MissingServerGrace time.Duration
+		// HeartbeatInterval is the interval between heartbeats to one entry.
+		HeartbeatInterval time.Duration
+		// HeartbeatTimeout is how long after its last heartbeat an entry still counts as
 		// alive.
-		BeaconTimeout time.Duration
+		HeartbeatTimeout time.Duration
 		// Store holds the followers of the store's objects. More may be added until
 		// Run is called.
 		Store follow.Group
-		// Closing is called during shutdown when the entry stops listening for
+		// OnShutdown is called during shutdown when the entry stops listening for
 		// callers, unless it is nil. The shutdown waits for its return, within the
 		// grace period.
-		Closing func()
+		OnShutdown func()
 		// Headers holds the names of the headers of requests and answers.
 		Headers forward.Headers
 		// Load extracts the server's load report from the header of an answer; it
@@ -143,8 +143,8 @@
 		Roster *roster.Roster
 		// Quarantine holds the requests that crash servers.
 		Quarantine *quarantine.List
-		// Beacon exchanges heartbeats with the other entries.
-		Beacon *beacon.Detector
+		// Heartbeats exchanges heartbeats with the other entries.
+		Heartbeats *beacon.Detector
 
 		options       Options
 		bounds        atomic.Pointer[Bounds]
@@ -167,10 +167,10 @@
 
 // New returns a Node without configuration and servers.
 func New(o Options) *Node {
-	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.Lapse, Log: o.Log}}
+	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.MissingServerGrace, Log: o.Log}}
 	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestID: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
-	n.Beacon = &beacon.Detector{Self: n.Self, Interval: o.BeaconInterval, Timeout: o.BeaconTimeout, OnUpdate: n.onUpdate, Log: o.Log}
+	n.Heartbeats = &beacon.Detector{Self: n.Self, Interval: o.HeartbeatInterval, Timeout: o.HeartbeatTimeout, OnUpdate: n.onUpdate, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
 	n.handler = &forward.Handler{
 		Config: n.forwardConfig, Dispatcher: n.dispatcher, Upstream: n.upstream,
@@ -216,8 +216,8 @@
 // EntriesListed marks that Beacon has been given a complete list of entries.
 func (n *Node) EntriesListed() { n.entriesListed.Store(true) }
 
-// Listed marks that the roster holds a complete list of servers.
-func (n *Node) Listed() { n.serversListed.Store(true) }
+// ServersListed marks that the roster holds a complete list of servers.
+func (n *Node) ServersListed() { n.serversListed.Store(true) }
 
 // Ready reports whether the entry serves callers and is not shutting down.
 func (n *Node) Ready() bool {
@@ -244,21 +244,21 @@
 	}
 }
 
-// OthersSteady returns the longest time for which the store has been continuously
+// LongestPeerStoreUptime returns the longest time for which the store has been continuously
 // available to any other entry.
-func (n *Node) OthersSteady(now time.Time) time.Duration {
+func (n *Node) LongestPeerStoreUptime(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for _, other := range n.Beacon.Alive(now) {
+	for _, other := range n.Heartbeats.Alive(now) {
 		longest = max(longest, other.StoreAvailableFor)
 	}
 	return longest
 }
 
-// Scout reports whether this is a short-poll entry, one of the first
+// ShortPolls reports whether this is a short-poll entry, one of the first
 // shortPollEntries live entries by name.
-func (n *Node) Scout() bool {
+func (n *Node) ShortPolls() bool {
 	before := 0
-	for _, other := range n.Beacon.Alive(time.Now()) {
+	for _, other := range n.Heartbeats.Alive(time.Now()) {
 		if other.Instance < n.options.Self.Instance {
 			before++
 		}
@@ -269,13 +269,13 @@
 // Entries returns the addresses of the entries that a caller in a zone and region
 // should use.
 func (n *Node) Entries(zone id.Zone, region id.Region) []netip.AddrPort {
-	return directory.Choose(append(n.Beacon.Alive(time.Now()), n.Self()), zone, region)
+	return directory.Choose(append(n.Heartbeats.Alive(time.Now()), n.Self()), zone, region)
 }
 
 // gauges registers the gauges of the entry's state.
 func (n *Node) gauges(set *metrics.Set) {
 	set.GetOrCreateGauge(`shallotpier_entries`, func() float64 {
-		return float64(len(n.Beacon.Alive(time.Now())) + 1)
+		return float64(len(n.Heartbeats.Alive(time.Now())) + 1)
 	})
 	set.GetOrCreateGauge(`shallotpier_config_version`, func() float64 {
 		if c := n.config.Load(); c != nil {
@@ -332,7 +332,7 @@
 		}
 	})
 	n.wg.Go(func() {
-		if err := n.Beacon.Run(background, n.heartbeatConn); err != nil {
+		if err := n.Heartbeats.Run(background, n.heartbeatConn); err != nil {
 			o.Log.Error("heartbeats failed", "err", err)
 		}
 	})
@@ -360,7 +360,7 @@
 	o := &n.options
 	o.Log.Info("leaving", "running", n.handler.Running())
 	n.leaving.Store(true)
-	n.Beacon.Announce(n.heartbeatConn)
+	n.Heartbeats.Announce(n.heartbeatConn)
 	grace := n.bounds.Load().Grace
 	serve := time.Duration(float64(grace) * serveShare)
 	time.Sleep(serve)
@@ -369,8 +369,8 @@
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		if o.Closing != nil {
-			o.Closing()
+		if o.OnShutdown != nil {
+			o.OnShutdown()
 		}
 	}()
 	err := server.Shutdown(ctx)
@@ -397,7 +397,7 @@
 		case now := <-t.C:
 			n.Roster.Step(now)
 			if n.mayUseColdRates(now) {
-				n.Roster.SetEntries(n.options.Self.Peers, n.Beacon.KnownPeers())
+				n.Roster.SetEntries(n.options.Self.Peers, n.Heartbeats.KnownPeers())
 			}
 			n.checkConnections(ctx, now)
 			n.upstream.CloseIdle(now)
@@ -421,8 +421,8 @@
 }
 
 func (n *Node) callerIdleTimeout() time.Duration {
-	if c := n.config.Load(); c != nil && c.Idle > 0 {
-		return c.Idle
+	if c := n.config.Load(); c != nil && c.IdleTimeout > 0 {
+		return c.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
@@ -439,7 +439,7 @@
 
 // retryLimits returns this entry's share of the retry limits.
 func (n *Node) retryLimits() forward.RetryLimits {
-	r := n.bounds.Load().Resends
-	entries := float64(len(n.Beacon.KnownPeers()) + 1)
+	r := n.bounds.Load().RetryLimits
+	entries := float64(len(n.Heartbeats.KnownPeers()) + 1)
 	return forward.RetryLimits{Share: r.Share * retryBudgetShare, Allowance: r.Allowance * retryBudgetShare / entries}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -45,7 +45,7 @@
 		Name: "r", Host: "a.example", Prefix: prefix, Kind: service.Write, Attempts: 1, Timeout: 10 * time.Second,
 		Parts: []route.Part{{Service: svc, Weight: 1}},
 	}
-	return &node.Config{Config: forward.Config{Version: version, Routes: route.NewTable([]*route.Route{r})}, Idle: time.Second}
+	return &node.Config{Config: forward.Config{Version: version, Routes: route.NewTable([]*route.Route{r})}, IdleTimeout: time.Second}
 }
 
 func newNode(t *testing.T, change ...func(*node.Options)) *node.Node {
@@ -54,7 +54,7 @@
 		Self: beacon.Node{
 			Instance: "entry-1", Incarnation: 1, Zone: "a-1", Region: "a", Callers: freePort(t), Peers: freePort(t),
 		},
-		Lapse: time.Second, BeaconInterval: 100 * time.Millisecond, BeaconTimeout: time.Second,
+		MissingServerGrace: time.Second, HeartbeatInterval: 100 * time.Millisecond, HeartbeatTimeout: time.Second,
 		Headers: forward.Headers{RequestID: "X-Id", Deadline: "X-Left", Object: "Object", Expect: "X-Expect", NotRun: "X-Not-Run", Signature: "X-Signed"},
 		Load:    func(http.Header) *roster.Load { return nil }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewSet(),
 	}
@@ -73,7 +73,7 @@
 	n.Configure(configOf(1, "/x/"))
 	is.True(!n.Ready()) // there is no list of servers yet
 	is.Equal(len(n.Entries("a-1", "a")), 0)
-	n.Listed()
+	n.ServersListed()
 	is.True(n.Ready())
 	is.Equal(len(n.Entries("a-1", "a")), 1)
 }
@@ -113,7 +113,7 @@
 	n := newNode(t)
 	n.Configure(configOf(1, "/x/"))
 	n.Roster.Put(time.Now(), roster.Server{Name: "i-1", Service: svc, Address: slowServer(t, time.Second), Slots: 6})
-	n.Listed()
+	n.ServersListed()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
@@ -154,7 +154,7 @@
 	is := is.New(t)
 	called := make(chan struct{})
 	n := newNode(t, func(o *node.Options) {
-		o.Closing = func() {
+		o.OnShutdown = func() {
 			close(called)
 			time.Sleep(2 * grace)
 		}
@@ -173,7 +173,7 @@
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
-	n.Listed()
+	n.ServersListed()
 	n.Configure(configOf(5, "/new/"))
 	n.Configure(configOf(4, "/old/"))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -201,7 +201,7 @@
 	n.Roster.Put(now, roster.Server{Name: "i-2", Service: svc, Address: "127.0.0.1:2", Zone: "b-1", Slots: 6})
 	n.Roster.Put(now, roster.Server{Name: "i-3", Service: svc, Address: "127.0.0.1:3", Zone: "a-1", Slots: 6, Leaving: true})
 	n.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true})
-	n.Listed()
+	n.ServersListed()
 	mux := http.NewServeMux()
 	n.ServeOperators(mux)
 	server := httptest.NewServer(mux)
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -69,7 +69,7 @@
 		if len(missing) == 0 {
 			continue
 		}
-		from, ok := n.bestSource(n.Beacon.Alive(time.Now()), missing)
+		from, ok := n.bestSource(n.Heartbeats.Alive(time.Now()), missing)
 		if !ok {
 			continue
 		}
@@ -138,7 +138,7 @@
 	followers := n.options.Store
 	for _, addr := range s.Entries {
 		if addr.IsValid() && addr != n.options.Self.Peers {
-			n.Beacon.AddPeer("", addr)
+			n.Heartbeats.AddPeer("", addr)
 		}
 	}
 	n.EntriesListed()
@@ -151,7 +151,7 @@
 	if p := s.Servers; p != nil && followers[follow.Servers] != nil {
 		followers[follow.Servers].Bootstrap(p.Version, func() {
 			n.Roster.Replace(now, p.Value)
-			n.Listed()
+			n.ServersListed()
 		})
 	}
 	n.options.Log.Info("snapshot taken in", "instance", from, "ready", n.Ready())
@@ -163,7 +163,7 @@
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, eris.Wrap(err, "decode snapshot request")
 	}
-	s := &snapshot{Entries: append(n.Beacon.KnownPeers(), n.options.Self.Peers)}
+	s := &snapshot{Entries: append(n.Heartbeats.KnownPeers(), n.options.Self.Peers)}
 	n.ifNewer(&req, follow.Configuration, func(v store.Version) {
 		if c := n.config.Load(); c != nil {
 			s.Configuration = &versioned[*Config]{v, c}
@@ -195,7 +195,7 @@
 
 // dialPeer connects to another live entry.
 func (n *Node) dialPeer(ctx context.Context, to id.Instance) (net.Conn, error) {
-	alive := n.Beacon.Alive(time.Now())
+	alive := n.Heartbeats.Alive(time.Now())
 	i := slices.IndexFunc(alive, func(other beacon.Node) bool { return other.Instance == to })
 	if i < 0 {
 		return nil, eris.Errorf("instance %s is not alive", to)
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -73,9 +73,9 @@
 	}
 	group[follow.Servers].Bootstrap(6, func() {
 		first.Roster.Replace(now, servers)
-		first.Listed()
+		first.ServersListed()
 	})
-	first.Beacon.AddPeer(second.Self().Zone, second.Self().Peers)
+	first.Heartbeats.AddPeer(second.Self().Zone, second.Self().Peers)
 	for _, n := range []*node.Node{first, second} {
 		go func() { ended <- n.Run(ctx) }()
 	}
