--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -146,7 +146,7 @@
 func compactStore(ctx context.Context, s *soak, d faultParams) {
 	s.logFault("store stalls watches for %v, then discards its history", d.duration/2)
 	s.storeDisturbance.add(time.Now().Add(d.duration / 2))
-	s.store.Deafen()
+	s.store.StallWatches()
 	sleep(ctx, d.duration/2)
 	s.store.Compact()
 	s.storeDisturbance.add(time.Now())
@@ -186,24 +186,24 @@
 }
 
 func slowServer(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "is slow", standin.Faults{Slow: 10})
+	s.injectServerFault(ctx, d, "is slow", standin.Faults{Slowdown: 10})
 }
 
 func loseResponses(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "loses responses", standin.Faults{Lose: d.ratio})
+	s.injectServerFault(ctx, d, "loses responses", standin.Faults{LossRatio: d.ratio})
 }
 
 func rejectRequests(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "refuses", standin.Faults{Refuse: d.ratio})
+	s.injectServerFault(ctx, d, "refuses", standin.Faults{RejectRatio: d.ratio})
 }
 
 // injectServerFault sets the faults of a server for the duration of d.
 func (s *soak) injectServerFault(ctx context.Context, d faultParams, what string, f standin.Faults) {
 	s.logFault("server %s %s for %v", d.server.Name(), what, d.duration)
-	f.Draw = s.random
-	d.server.Break(f)
+	f.Random = s.random
+	d.server.SetFaults(f)
 	sleep(ctx, d.duration)
-	d.server.Break(standin.Faults{})
+	d.server.SetFaults(standin.Faults{})
 }
 
 func stallServer(ctx context.Context, s *soak, d faultParams) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -179,7 +179,7 @@
 	for i := range s.options.Servers {
 		b := &backend{zone: zone(i)}
 		b.Server = &standin.Server{
-			Store: s.store, Ledger: &s.ledger, Service: serviceName, Zone: b.zone, Slots: slots, Work: processingTime,
+			Store: s.store, Ledger: &s.ledger, Service: serviceName, Zone: b.zone, Slots: slots, ProcessingTime: processingTime,
 		}
 		if err := b.startBehindProxy(s.newServerName()); err != nil {
 			return err
@@ -236,7 +236,7 @@
 			return eris.Wrap(err, "start server proxy")
 		}
 		b.proxy = p
-		b.Public = p.address()
+		b.AdvertisedAddress = p.address()
 		b.Register("ready")
 	}
 	return nil
