--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -258,7 +258,7 @@
 	d.handler = &entry.Handler{
 		Instance: d.Settings.Instance, Incarnation: d.incarnation, Started: d.started,
 		Table: d.table, Leaving: d.closed, Admitter: d.admitter, Budget: &d.budgets,
-		Backend:      &backend.Client{Dial: d.DialBackend, Entries: len(d.Settings.World.Entries)},
+		Backend:      &backend.Client{Dial: d.DialBackend, Entries: len(d.Settings.Deployment.Entries)},
 		Lookup:       &d.lookups,
 		Once:         &once.Registry{Instance: d.Settings.Instance, Incarnation: d.incarnation, Key: key},
 		EntryAddress: d.callerAddress, Quarantine: &d.quarantine, CrashReporter: d.crashReports,
@@ -281,7 +281,7 @@
 	if d.DialPeer != nil {
 		return d.DialPeer(ctx, to)
 	}
-	for _, e := range d.Settings.World.Entries {
+	for _, e := range d.Settings.Deployment.Entries {
 		if e.Name == to {
 			var dialer net.Dialer
 			return dialer.DialContext(ctx, "tcp", e.Peer.String())
@@ -292,7 +292,7 @@
 
 // callerAddress returns another entry's address for callers.
 func (d *Daemon) callerAddress(name id.Instance) (netip.AddrPort, bool) {
-	for _, e := range d.Settings.World.Entries {
+	for _, e := range d.Settings.Deployment.Entries {
 		if e.Name == name {
 			return e.Caller, true
 		}
@@ -303,7 +303,7 @@
 // others returns the other entries of the deployment.
 func (d *Daemon) others() []id.Instance {
 	var out []id.Instance
-	for _, e := range d.Settings.World.Entries {
+	for _, e := range d.Settings.Deployment.Entries {
 		if e.Name != d.Settings.Instance {
 			out = append(out, e.Name)
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -63,7 +63,7 @@
 	region, _ := s.fleet.Deployment.Region(e.Zone)
 	d := &daemon.Daemon{
 		Settings: &settings.Settings{
-			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.Deployment,
+			Instance: e.Name, Zone: e.Zone, Region: region, Deployment: s.fleet.Deployment,
 			Listeners: settings.Listeners{Caller: e.Caller, Peer: e.Peer, Operator: loopback()},
 			Platform:  settings.Platform{Store: s.fleet.Platform},
 			Operators: []settings.Operator{{Name: "nino", Role: settings.Reader, Hash: sha256.Sum256([]byte(token))}},
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -138,7 +138,7 @@
 // preferredHome returns the entry that should be home of the named bucket.
 func (d *Daemon) preferredHome(name string) (id.Instance, bool) {
 	service, zone, _ := strings.Cut(name, "/")
-	region, _ := d.Settings.World.Region(id.Zone(zone))
+	region, _ := d.Settings.Deployment.Region(id.Zone(zone))
 	return homes.Choose(homes.Bucket{Service: id.Service(service), Zone: id.Zone(zone), Region: region}, d.candidates())
 }
 
@@ -147,14 +147,14 @@
 func (d *Daemon) candidates() []homes.Candidate {
 	now := time.Now()
 	var out []homes.Candidate
-	for _, e := range d.Settings.World.Entries {
+	for _, e := range d.Settings.Deployment.Entries {
 		if e.Name != d.Settings.Instance {
 			m := d.members.Member(e.Name, now)
 			if !m.Alive || m.Own.Leaving || m.Listed == instances.Gone {
 				continue
 			}
 		}
-		region, _ := d.Settings.World.Region(e.Zone)
+		region, _ := d.Settings.Deployment.Region(e.Zone)
 		out = append(out, homes.Candidate{Instance: e.Name, Zone: e.Zone, Region: region})
 	}
 	return out
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -34,7 +34,7 @@
 func (d *Daemon) uses(f *service.File) []loads.Use {
 	sums := map[id.Region]int{}
 	for i := range f.Servers {
-		region, _ := d.Settings.World.Region(f.Servers[i].Zone)
+		region, _ := d.Settings.Deployment.Region(f.Servers[i].Zone)
 		sums[region] += d.used(f.Service, f.Servers[i].Name)
 	}
 	var out []loads.Use
@@ -68,7 +68,7 @@
 func (d *Daemon) rebuildLookups() {
 	now := time.Now()
 	states := map[id.Instance]lookup.State{}
-	for _, e := range d.Settings.World.Entries {
+	for _, e := range d.Settings.Deployment.Entries {
 		if e.Name == d.Settings.Instance {
 			states[e.Name] = d.ownState()
 			continue
@@ -76,7 +76,7 @@
 		m := d.members.Member(e.Name, now)
 		states[e.Name] = m.Lookup()
 	}
-	t, err := lookup.Near(d.Settings.World, d.Settings.Region, states).Build()
+	t, err := lookup.Near(d.Settings.Deployment, d.Settings.Region, states).Build()
 	if err != nil {
 		d.Log.Error("lookup table not built", "error", err)
 		return
@@ -136,7 +136,7 @@
 	slots := map[id.Region]int{}
 	for i := range f.Servers {
 		if s := &f.Servers[i]; !s.Leaving {
-			region, _ := d.Settings.World.Region(s.Zone)
+			region, _ := d.Settings.Deployment.Region(s.Zone)
 			slots[region] += s.Slots
 		}
 	}
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -15,7 +15,7 @@
 // prepareSlots builds the admission control of requests: leases, slots, router
 // and limits.
 func (d *Daemon) prepareSlots() {
-	world := d.Settings.World
+	world := d.Settings.Deployment
 	d.prepareLeases()
 	d.slots.Self = peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}
 	d.slots.Caller, d.slots.Homes, d.slots.Entries = d.node, homeLeases{d.leases, d.preferredHome}, len(world.Entries)
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -79,8 +79,8 @@
 // region. The bandwidth in use is not measured.
 func (s *source) linkStatus() []operator.LinkStatus {
 	var out []operator.LinkStatus
-	for _, r := range s.Settings.World.Regions {
-		l := s.Settings.World.Link(s.Settings.Region, r.Name)
+	for _, r := range s.Settings.Deployment.Regions {
+		l := s.Settings.Deployment.Link(s.Settings.Region, r.Name)
 		if l == nil {
 			continue
 		}
@@ -102,8 +102,8 @@
 	if t := s.table(); t != nil {
 		version = t.Version
 	}
-	for _, e := range s.Settings.World.Entries {
-		region, _ := s.Settings.World.Region(e.Zone)
+	for _, e := range s.Settings.Deployment.Entries {
+		region, _ := s.Settings.Deployment.Region(e.Zone)
 		if e.Name == s.Settings.Instance {
 			out = append(out, operator.InstanceStatus{Name: e.Name, Zone: e.Zone, Region: region, State: s.ownState().String(), Version: version, Seen: operator.Freshness{State: "fresh"}})
 			continue
@@ -132,7 +132,7 @@
 		used := s.used(f.Service, b.Name)
 		state := s.serverState(f, b)
 		out.Servers = append(out.Servers, operator.ServerStatus{Name: b.Name, Zone: b.Zone, State: state, Slots: b.Slots, Used: used, Home: s.home(f.Service, b.Zone), Seen: s.reportAge(f.Service, b.Name)})
-		region, _ := s.Settings.World.Region(b.Zone)
+		region, _ := s.Settings.Deployment.Region(b.Zone)
 		if h := regions[region]; h != nil {
 			h.Used += used
 			if !b.Leaving {
@@ -202,7 +202,7 @@
 		out.Entries = append(out.Entries, operator.Choice{Name: string(e.Instance), Weight: float64(e.Weight), Why: "lookup table"})
 	}
 	for _, b := range s.router.Order(&admission.Request{Service: f, Class: class, Caller: q.Caller}) {
-		why := "one-way delay " + s.Settings.World.Delay(s.Settings.Zone, b.Zone).String()
+		why := "one-way delay " + s.Settings.Deployment.Delay(s.Settings.Zone, b.Zone).String()
 		out.Servers = append(out.Servers, operator.Choice{Name: string(b.Name), Zone: b.Zone, Why: why})
 	}
 	return out, nil
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -90,7 +90,7 @@
 
 // checkDeployment checks the settings against the deployment file.
 func (s *Settings) checkDeployment() *service.FileError {
-	region, ok := s.World.Region(s.Zone)
+	region, ok := s.Deployment.Region(s.Zone)
 	entry := s.Entry()
 	switch {
 	case !ok:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,8 +48,8 @@
 		// Log configures the log.
 		Log Log `toml:"log"`
 
-		// World is the content of the deployment file.
-		World *deployment.Deployment `toml:"-"`
+		// Deployment is the content of the deployment file.
+		Deployment *deployment.Deployment `toml:"-"`
 	}
 
 	// Listeners holds the listen addresses of an entry.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.World, err = deployment.Parse(deploymentPath, content); err != nil {
+	if s.Deployment, err = deployment.Parse(deploymentPath, content); err != nil {
 		return nil, err
 	}
 	if p := s.checkDeployment(); p != nil {
@@ -128,9 +128,9 @@
 
 // Entry returns the entry of these settings in the deployment file.
 func (s *Settings) Entry() *deployment.Entry {
-	for i := range s.World.Entries {
-		if s.World.Entries[i].Name == s.Instance {
-			return &s.World.Entries[i]
+	for i := range s.Deployment.Entries {
+		if s.Deployment.Entries[i].Name == s.Instance {
+			return &s.Deployment.Entries[i]
 		}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 				is := is.New(t)
 				s, err := settings.Load(path)
 				is.NoErr(err)
-				is.Equal(s.World.Name, deployment)
+				is.Equal(s.Deployment.Name, deployment)
 				is.Equal(s.Entry().Name, s.Instance)
 				is.Equal(s.Limits.Connections, settings.DefaultConnections)
 				is.True(s.Operators[0].Hash.Equal(settings.HashToken("example-write")))
--- a/internal/trial/system.go
+++ b/internal/trial/system.go
@@ -126,7 +126,7 @@
 	started := make(chan struct{})
 	m.daemon = &daemon.Daemon{
 		Settings: &settings.Settings{
-			Instance: e.Name, Zone: e.Zone, Region: region, World: s.fleet.Deployment,
+			Instance: e.Name, Zone: e.Zone, Region: region, Deployment: s.fleet.Deployment,
 			Listeners: settings.Listeners{Caller: e.Caller, Peer: e.Peer, Operator: m.operator},
 			Platform:  settings.Platform{Store: s.fleet.Platform},
 			Operators: []settings.Operator{{Name: "trial", Role: settings.Writer, Hash: settings.HashToken(token)}},
