--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -40,9 +40,9 @@
 		// Confirmed returns the term of a bucket according to the last
 		// successful read of the store, and the time at which that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Time, bool)
-		// Raise requests a new term for a bucket whose home is this entry. It
+		// RequestTerm requests a new term for a bucket whose home is this entry. It
 		// doesn't wait; Authority returns the new term once it is in the store.
-		Raise(wire.Bucket)
+		RequestTerm(wire.Bucket)
 	}
 
 	// Admitter admits requests within granted slots. Its exported fields must
--- a/internal/admission/shared/admitter_test.go
+++ b/internal/admission/shared/admitter_test.go
@@ -150,7 +150,7 @@
 
 func (e *entry) Confirmed(wire.Bucket) (id.Term, time.Time, bool) { return 0, time.Time{}, false }
 
-func (e *entry) Raise(b wire.Bucket) {
+func (e *entry) RequestTerm(b wire.Bucket) {
 	e.world.mu.Lock()
 	defer e.world.mu.Unlock()
 	e.world.terms[b]++
--- a/internal/admission/shared/talk.go
+++ b/internal/admission/shared/talk.go
@@ -32,8 +32,8 @@
 	return term, c.Pool.At(begun), ok
 }
 
-// Raise implements node.Homes.
-func (c poolClock) Raise(b wire.Bucket) { c.Homes.Raise(b) }
+// RequestTerm implements node.Homes.
+func (c poolClock) RequestTerm(b wire.Bucket) { c.Homes.RequestTerm(b) }
 
 // step returns the messages that are due.
 func (a *Admitter) step() []node.Message {
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -66,8 +66,8 @@
 	return r.Term, time.Now().Add(-age), ok
 }
 
-// Raise requests a new term for a bucket.
-func (h homeLeases) Raise(b wire.Bucket) { h.keeper.RequestTerm(bucketName(b)) }
+// RequestTerm requests a new term for a bucket.
+func (h homeLeases) RequestTerm(b wire.Bucket) { h.keeper.RequestTerm(bucketName(b)) }
 
 func bucketName(b wire.Bucket) string { return string(b.Service) + "/" + string(b.Zone) }
 
--- a/internal/replay/shares.go
+++ b/internal/replay/shares.go
@@ -233,8 +233,8 @@
 // Confirmed implements node.Homes. It never confirms, as a replay has no store.
 func (e *sharesEntry) Confirmed(wire.Bucket) (id.Term, time.Duration, bool) { return 0, 0, false }
 
-// Raise implements node.Homes.
-func (e *sharesEntry) Raise(b wire.Bucket) {
+// RequestTerm implements node.Homes.
+func (e *sharesEntry) RequestTerm(b wire.Bucket) {
 	if e.termRequested[b] {
 		return
 	}
--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -118,7 +118,7 @@
 	}
 	b.ledger.Scatter = n.Leaving || b.plan.MaxRequestTime > scatterAbove
 	if b.ledger.Tick(now) {
-		n.Homes.Raise(b.key)
+		n.Homes.RequestTerm(b.key)
 	}
 }
 
--- a/internal/slots/node/node.go
+++ b/internal/slots/node/node.go
@@ -42,9 +42,9 @@
 		// Confirmed returns the term that the last successful read of the
 		// store showed for a bucket, and when that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Duration, bool)
-		// Raise requests a new term of a bucket that this entry is home of.
+		// RequestTerm requests a new term of a bucket that this entry is home of.
 		// Authority returns the new term once it is written to the store.
-		Raise(wire.Bucket)
+		RequestTerm(wire.Bucket)
 	}
 
 	// Node is the slot sharing of one entry. Its exported fields are set before
