--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -16,7 +16,7 @@
 	"net/netip"
 	"slices"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
@@ -30,8 +30,8 @@
 
 // Choose returns the entry addresses for a caller in a zone and region, at most
 // Limit. It returns none if no entry is ready.
-func Choose(nodes []beacon.Node, zone id.Zone, region id.Region) []netip.AddrPort {
-	var inZone, inRegion, all []beacon.Node
+func Choose(nodes []heartbeat.Node, zone id.Zone, region id.Region) []netip.AddrPort {
+	var inZone, inRegion, all []heartbeat.Node
 	zones := make(map[id.Zone]bool)
 	for _, n := range nodes {
 		if !n.Ready {
@@ -61,9 +61,9 @@
 
 // largest returns the set of entries that has the greatest capacity if all of its
 // entries get the same load, and that capacity.
-func largest(nodes []beacon.Node) ([]beacon.Node, float64) {
+func largest(nodes []heartbeat.Node) ([]heartbeat.Node, float64) {
 	sorted := slices.Clone(nodes)
-	slices.SortStableFunc(sorted, func(a, b beacon.Node) int { return cmp.Compare(capacity(&b), capacity(&a)) })
+	slices.SortStableFunc(sorted, func(a, b heartbeat.Node) int { return cmp.Compare(capacity(&b), capacity(&a)) })
 	best, count := 0.0, 0
 	for i := range sorted {
 		if sum := float64(i+1) * capacity(&sorted[i]); sum >= best {
@@ -75,14 +75,14 @@
 
 // capacity returns the capacity of an entry: the rate of its link. An entry that
 // reports no rate counts as one of 1 Mbit/s.
-func capacity(n *beacon.Node) float64 {
+func capacity(n *heartbeat.Node) float64 {
 	if n.LinkMbps > 0 {
 		return n.LinkMbps
 	}
 	return 1
 }
 
-func addresses(nodes []beacon.Node) []netip.AddrPort {
+func addresses(nodes []heartbeat.Node) []netip.AddrPort {
 	var out []netip.AddrPort
 	for i := range nodes[:min(len(nodes), Limit)] {
 		out = append(out, nodes[i].Callers)
--- a/internal/beacon/beacon.go
+++ b/internal/heartbeat/detector.go
@@ -1,4 +1,4 @@
-// Package beacon detects which entries of a deployment are alive, by heartbeats
+// Package heartbeat detects which entries of a deployment are alive, by heartbeats
 // sent in datagrams.
 //
 // The first two live entries of each availability zone, by name, are its zone
@@ -19,13 +19,13 @@
 //
 // # Usage
 //
-//	b := &beacon.Beacon{Self: self, Interval: 500 * time.Millisecond, Timeout: 2 * time.Second, Log: log}
+//	b := &heartbeat.Beacon{Self: self, Interval: 500 * time.Millisecond, Timeout: 2 * time.Second, Log: log}
 //	b.Meet("a-1", "10.1.0.4:7720")
 //	go b.Run(ctx, packetConn)
 //	for _, n := range b.Alive(time.Now()) {
 //		use(n.Callers)
 //	}
-package beacon
+package heartbeat
 
 import (
 	"cmp"
--- a/internal/beacon/beacon_test.go
+++ b/internal/heartbeat/detector_test.go
@@ -1,4 +1,4 @@
-package beacon_test
+package heartbeat_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/quarantine"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
@@ -21,16 +21,16 @@
 
 var start = time.Unix(1000, 0)
 
-func node(n int, incarnation id.Incarnation) beacon.Node {
-	return beacon.Node{
+func node(n int, incarnation id.Incarnation) heartbeat.Node {
+	return heartbeat.Node{
 		Instance: id.Instance(fmt.Sprintf("entry-%d", n)), Incarnation: incarnation, Ready: true, Zone: "a-1", Region: "a",
 		Callers: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:80", n)), Peers: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:90", n)),
 	}
 }
 
-func newDetector() *beacon.Detector {
-	return &beacon.Detector{
-		Self: func() beacon.Node { return node(1, 1) }, Interval: 500 * time.Millisecond, Timeout: timeout,
+func newDetector() *heartbeat.Detector {
+	return &heartbeat.Detector{
+		Self: func() heartbeat.Node { return node(1, 1) }, Interval: 500 * time.Millisecond, Timeout: timeout,
 		Log: slog.New(slog.DiscardHandler),
 	}
 }
@@ -39,19 +39,19 @@
 	leaving := node(2, 2)
 	leaving.Ready = false
 	tests := map[string]struct {
-		take []beacon.Node
+		take []heartbeat.Node
 		age  time.Duration
-		want []beacon.Node
+		want []heartbeat.Node
 	}{
-		"heartbeat received":                     {[]beacon.Node{node(2, 1)}, timeout, []beacon.Node{node(2, 1)}},
-		"silent":                                 {[]beacon.Node{node(2, 1)}, timeout + 1, nil},
-		"itself":                                 {[]beacon.Node{node(1, 1)}, 0, nil},
-		"without an address":                     {[]beacon.Node{{Instance: "entry-2"}}, 0, nil},
-		"graceful shutdown":                      {[]beacon.Node{node(2, 2), leaving}, 0, []beacon.Node{leaving}},
-		"late heartbeat of an earlier process":   {[]beacon.Node{node(2, 2), node(2, 1)}, 0, []beacon.Node{node(2, 2)}},
-		"later process replaces the earlier one": {[]beacon.Node{leaving, node(2, 3)}, 0, []beacon.Node{node(2, 3)}},
-		"several, sorted by name":                {[]beacon.Node{node(3, 1), node(2, 1)}, 0, []beacon.Node{node(2, 1), node(3, 1)}},
-		"ready, then not ready":                  {[]beacon.Node{node(2, 2), leaving, leaving}, 0, []beacon.Node{leaving}},
+		"heartbeat received":                     {[]heartbeat.Node{node(2, 1)}, timeout, []heartbeat.Node{node(2, 1)}},
+		"silent":                                 {[]heartbeat.Node{node(2, 1)}, timeout + 1, nil},
+		"itself":                                 {[]heartbeat.Node{node(1, 1)}, 0, nil},
+		"without an address":                     {[]heartbeat.Node{{Instance: "entry-2"}}, 0, nil},
+		"graceful shutdown":                      {[]heartbeat.Node{node(2, 2), leaving}, 0, []heartbeat.Node{leaving}},
+		"late heartbeat of an earlier process":   {[]heartbeat.Node{node(2, 2), node(2, 1)}, 0, []heartbeat.Node{node(2, 2)}},
+		"later process replaces the earlier one": {[]heartbeat.Node{leaving, node(2, 3)}, 0, []heartbeat.Node{node(2, 3)}},
+		"several, sorted by name":                {[]heartbeat.Node{node(3, 1), node(2, 1)}, 0, []heartbeat.Node{node(2, 1), node(3, 1)}},
+		"ready, then not ready":                  {[]heartbeat.Node{node(2, 2), leaving, leaving}, 0, []heartbeat.Node{leaving}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	b := newDetector()
 	var received []int
-	b.OnUpdate = func(_ time.Time, u beacon.Update) { received = append(received, len(u.Crashes)) }
+	b.OnUpdate = func(_ time.Time, u heartbeat.Update) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
 	late.Crashes = make([]quarantine.CrashReport, 1)
 	b.Receive(start, node(2, 2))
@@ -127,12 +127,12 @@
 		defer cancel()
 		const entries = 3
 		n := network{}
-		var all []*beacon.Detector
+		var all []*heartbeat.Detector
 		for i := 1; i <= entries; i++ {
 			self := node(i, 1)
 			n[self.Peers.String()] = make(chan []byte, 100)
 			b := newDetector()
-			b.Self = func() beacon.Node { return self }
+			b.Self = func() heartbeat.Node { return self }
 			all = append(all, b)
 		}
 		// Only the first entry knows the addresses of the others.
--- a/internal/beacon/many_test.go
+++ b/internal/heartbeat/many_test.go
@@ -1,4 +1,4 @@
-package beacon_test
+package heartbeat_test
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
 	"github.com/shallotpier/shallotpier/internal/follow"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/store"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
@@ -47,8 +47,8 @@
 	// member is one entry.
 	member struct {
 		deployment *deployment
-		self       beacon.Node
-		detector   *beacon.Detector
+		self       heartbeat.Node
+		detector   *heartbeat.Detector
 		inbox      chan []byte
 		cancel     context.CancelFunc
 		sent       atomic.Int64
@@ -99,7 +99,7 @@
 	d := &deployment{t: t, rng: rand.New(rand.NewPCG(1, 0)), byAddr: make(map[string]*member)}
 	for i := range manyZones * zoneSize {
 		zone := i % manyZones
-		self := beacon.Node{
+		self := heartbeat.Node{
 			Instance: id.Instance(fmt.Sprintf("entry-%d-%02d", zone, i/manyZones)),
 			Zone:     id.Zone(fmt.Sprintf("z-%d", zone)), Region: "a",
 			Callers: netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:80", zone, 100-i)), Peers: netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:90", zone, 100-i)),
@@ -115,14 +115,14 @@
 // start starts an entry that knows the addresses of all others.
 func (d *deployment) start(ctx context.Context, m *member) {
 	starts := m.starts.Add(1)
-	m.detector = &beacon.Detector{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
-	m.detector.Self = func() beacon.Node {
+	m.detector = &heartbeat.Detector{Interval: 500 * time.Millisecond, Timeout: 2600 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+	m.detector.Self = func() heartbeat.Node {
 		self := m.self
 		self.Ready, self.Incarnation = m.ready.Load(), id.Incarnation(starts)
 		self.Changes = map[follow.Kind]store.Version{follow.Servers: store.Version(m.change.Load())}
 		return self
 	}
-	m.detector.OnUpdate = func(_ time.Time, u beacon.Update) {
+	m.detector.OnUpdate = func(_ time.Time, u heartbeat.Update) {
 		m.received.Store(max(m.received.Load(), uint64(u.Changes[follow.Servers])))
 	}
 	for _, other := range d.entries {
--- a/internal/beacon/zone.go
+++ b/internal/heartbeat/zone.go
@@ -1,4 +1,4 @@
-package beacon
+package heartbeat
 
 import (
 	"cmp"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,12 +31,12 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/rotisserie/eris"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
 	"github.com/shallotpier/shallotpier/internal/coldrate"
 	"github.com/shallotpier/shallotpier/internal/directory"
 	"github.com/shallotpier/shallotpier/internal/dispatch"
 	"github.com/shallotpier/shallotpier/internal/follow"
 	"github.com/shallotpier/shallotpier/internal/forward"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/peer"
 	"github.com/shallotpier/shallotpier/internal/peer/rpc"
 	"github.com/shallotpier/shallotpier/internal/quarantine"
@@ -110,7 +110,7 @@
 	// Options configure an entry.
 	Options struct {
 		// Self describes this entry to the other entries.
-		Self beacon.Node
+		Self heartbeat.Node
 		// MissingServerGrace is how long a server that is missing from the store is kept after the
 		// store is available again.
 		MissingServerGrace time.Duration
@@ -144,7 +144,7 @@
 		// Quarantine holds the requests that crash servers.
 		Quarantine *quarantine.List
 		// Heartbeats exchanges heartbeats with the other entries.
-		Heartbeats *beacon.Detector
+		Heartbeats *heartbeat.Detector
 
 		options       Options
 		bounds        atomic.Pointer[Bounds]
@@ -170,7 +170,7 @@
 	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.MissingServerGrace, Log: o.Log}}
 	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestID: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
-	n.Heartbeats = &beacon.Detector{Self: n.Self, Interval: o.HeartbeatInterval, Timeout: o.HeartbeatTimeout, OnUpdate: n.onUpdate, Log: o.Log}
+	n.Heartbeats = &heartbeat.Detector{Self: n.Self, Interval: o.HeartbeatInterval, Timeout: o.HeartbeatTimeout, OnUpdate: n.onUpdate, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
 	n.handler = &forward.Handler{
 		Config: n.forwardConfig, Dispatcher: n.dispatcher, Upstream: n.upstream,
@@ -225,19 +225,19 @@
 }
 
 // Self returns the description of this entry that its heartbeats carry.
-func (n *Node) Self() beacon.Node {
+func (n *Node) Self() heartbeat.Node {
 	self := n.options.Self
 	self.Ready = n.Ready()
 	self.Changes = n.options.Store.Changes()
 	self.StoreAvailableFor = n.options.Store.AvailableFor(follow.Servers, time.Now())
 	if n.Quarantine.Active() {
-		self.Crashes = n.Quarantine.Reports(time.Now(), beacon.MaxCrashReports)
+		self.Crashes = n.Quarantine.Reports(time.Now(), heartbeat.MaxCrashReports)
 	}
 	return self
 }
 
 // onUpdate applies an update from a heartbeat of another entry.
-func (n *Node) onUpdate(now time.Time, update beacon.Update) {
+func (n *Node) onUpdate(now time.Time, update heartbeat.Update) {
 	n.options.Store.Invalidate(update.Changes)
 	for _, crash := range update.Crashes {
 		n.Quarantine.Apply(now, crash)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,9 +15,9 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
 	"github.com/shallotpier/shallotpier/internal/beliefs"
 	"github.com/shallotpier/shallotpier/internal/forward"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/node"
 	"github.com/shallotpier/shallotpier/internal/roster"
 	"github.com/shallotpier/shallotpier/internal/route"
@@ -51,7 +51,7 @@
 func newNode(t *testing.T, change ...func(*node.Options)) *node.Node {
 	t.Helper()
 	o := node.Options{
-		Self: beacon.Node{
+		Self: heartbeat.Node{
 			Instance: "entry-1", Incarnation: 1, Zone: "a-1", Region: "a", Callers: freePort(t), Peers: freePort(t),
 		},
 		MissingServerGrace: time.Second, HeartbeatInterval: 100 * time.Millisecond, HeartbeatTimeout: time.Second,
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -11,8 +11,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/shallotpier/shallotpier/internal/beacon"
 	"github.com/shallotpier/shallotpier/internal/follow"
+	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/peer"
 	"github.com/shallotpier/shallotpier/internal/roster"
 	"github.com/shallotpier/shallotpier/internal/store"
@@ -81,7 +81,7 @@
 }
 
 // fetchSnapshot requests the missing kinds from another entry and applies the answer.
-func (n *Node) fetchSnapshot(ctx context.Context, from beacon.Node, missing map[follow.Kind]store.Version) error {
+func (n *Node) fetchSnapshot(ctx context.Context, from heartbeat.Node, missing map[follow.Kind]store.Version) error {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	var s snapshot
@@ -98,8 +98,8 @@
 // bestSource returns the entry that has newer data of the most missing kinds. Ties
 // are resolved in favour of an entry that is not shutting down, then of one in the
 // same region.
-func (n *Node) bestSource(others []beacon.Node, missing map[follow.Kind]store.Version) (beacon.Node, bool) {
-	newer := func(other *beacon.Node) int {
+func (n *Node) bestSource(others []heartbeat.Node, missing map[follow.Kind]store.Version) (heartbeat.Node, bool) {
+	newer := func(other *heartbeat.Node) int {
 		kinds := 0
 		for kind, known := range missing {
 			if other.Changes[kind] > known {
@@ -108,11 +108,11 @@
 		}
 		return kinds
 	}
-	others = slices.DeleteFunc(others, func(other beacon.Node) bool { return newer(&other) == 0 })
+	others = slices.DeleteFunc(others, func(other heartbeat.Node) bool { return newer(&other) == 0 })
 	if len(others) == 0 {
-		return beacon.Node{}, false
+		return heartbeat.Node{}, false
 	}
-	return slices.MaxFunc(others, func(a, b beacon.Node) int {
+	return slices.MaxFunc(others, func(a, b heartbeat.Node) int {
 		return cmp.Or(
 			cmp.Compare(newer(&a), newer(&b)), compareBool(a.Ready, b.Ready),
 			compareBool(a.Region == n.options.Self.Region, b.Region == n.options.Self.Region),
@@ -196,7 +196,7 @@
 // dialPeer connects to another live entry.
 func (n *Node) dialPeer(ctx context.Context, to id.Instance) (net.Conn, error) {
 	alive := n.Heartbeats.Alive(time.Now())
-	i := slices.IndexFunc(alive, func(other beacon.Node) bool { return other.Instance == to })
+	i := slices.IndexFunc(alive, func(other heartbeat.Node) bool { return other.Instance == to })
 	if i < 0 {
 		return nil, eris.Errorf("instance %s is not alive", to)
 	}
