--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 	urfave "github.com/urfave/cli/v3"
 
-	"github.com/shallotpier/shallotpier/internal/beliefs"
+	"github.com/shallotpier/shallotpier/internal/entryview"
 	"github.com/shallotpier/shallotpier/internal/logread"
 	"github.com/shallotpier/shallotpier/internal/operator"
 )
@@ -26,12 +26,12 @@
 	// platformStatus is the state of several entries and the differences between
 	// them.
 	platformStatus struct {
-		Entries     []*beliefs.View `json:"entries"`
-		Unreachable []string        `json:"unreachable,omitempty"`
-		Differences []string        `json:"differences"`
+		Entries     []*entryview.View `json:"entries"`
+		Unreachable []string          `json:"unreachable,omitempty"`
+		Differences []string          `json:"differences"`
 	}
 
-	platformExplanation beliefs.Explanation
+	platformExplanation entryview.Explanation
 )
 
 // platformFlag returns the flag with the addresses of entries on the platform.
@@ -73,7 +73,7 @@
 	s := &platformStatus{}
 	client := &http.Client{Timeout: entryTimeout}
 	for _, address := range all {
-		b, err := beliefs.Fetch(ctx, client, address)
+		b, err := entryview.Fetch(ctx, client, address)
 		if err != nil {
 			s.Unreachable = append(s.Unreachable, fmt.Sprintf("%s: %v", address, err))
 			continue
@@ -81,7 +81,7 @@
 		s.Entries = append(s.Entries, b)
 	}
 	if len(s.Entries) > 0 {
-		s.Differences = beliefs.Differences(s.Entries)
+		s.Differences = entryview.Differences(s.Entries)
 	}
 	if err := a.show(s); err != nil {
 		return err
@@ -103,7 +103,7 @@
 	if len(all) != 1 || cmd.String("host") == "" {
 		return usagef("want exactly one address in --platform, and the request's host in --host")
 	}
-	e, err := beliefs.Explain(ctx, &http.Client{Timeout: entryTimeout}, all[0], cmd.String("host"), cmd.String("path"), cmd.String("object"))
+	e, err := entryview.Explain(ctx, &http.Client{Timeout: entryTimeout}, all[0], cmd.String("host"), cmd.String("path"), cmd.String("object"))
 	if err != nil {
 		return &exitError{code: ExitUnreachable, text: err.Error()}
 	}
@@ -136,7 +136,7 @@
 	for _, b := range s.Entries {
 		usable, oldest := 0, time.Duration(0)
 		for _, server := range b.Servers {
-			if server.State == beliefs.Usable {
+			if server.State == entryview.Usable {
 				usable++
 			}
 		}
--- a/internal/beliefs/beliefs.go
+++ b/internal/entryview/view.go
@@ -1,4 +1,4 @@
-// Package beliefs describes the local state of an entry on the platform for
+// Package entryview describes the local state of an entry on the platform for
 // operators: the active configuration, the staleness of its store data, the other
 // entries, and the backend servers.
 //
@@ -8,11 +8,11 @@
 //
 // # Usage
 //
-//	b, err := beliefs.Fetch(ctx, http.DefaultClient, "10.1.0.10:9640")
-//	for _, line := range beliefs.Differences(all) {
+//	b, err := entryview.Fetch(ctx, http.DefaultClient, "10.1.0.10:9640")
+//	for _, line := range entryview.Differences(all) {
 //		fmt.Println(line)
 //	}
-package beliefs
+package entryview
 
 import (
 	"context"
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/beliefs"
+	"github.com/shallotpier/shallotpier/internal/entryview"
 	"github.com/shallotpier/shallotpier/internal/forward"
 	"github.com/shallotpier/shallotpier/internal/heartbeat"
 	"github.com/shallotpier/shallotpier/internal/node"
@@ -207,20 +207,20 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	b, err := beliefs.Fetch(t.Context(), server.Client(), address)
+	b, err := entryview.Fetch(t.Context(), server.Client(), address)
 	is.NoErr(err)
 	is.Equal(b.Version, id.Version(3))
-	states := map[id.Server]beliefs.State{}
+	states := map[id.Server]entryview.State{}
 	for _, s := range b.Servers {
 		states[s.Name] = s.State
 	}
-	is.Equal(states, map[id.Server]beliefs.State{"i-1": beliefs.Usable, "i-2": beliefs.Evacuated, "i-3": beliefs.Leaving})
-	e, err := beliefs.Explain(t.Context(), server.Client(), address, "a.example", "/x/1", "17")
+	is.Equal(states, map[id.Server]entryview.State{"i-1": entryview.Usable, "i-2": entryview.Evacuated, "i-3": entryview.Leaving})
+	e, err := entryview.Explain(t.Context(), server.Client(), address, "a.example", "/x/1", "17")
 	is.NoErr(err)
 	is.Equal(e.Server, id.Server("i-1"))
 	is.Equal(e.Reason, "owner")
 	is.Equal(len(e.Ranking), 1)
-	e, err = beliefs.Explain(t.Context(), server.Client(), address, "a.example", "/y/1", "17")
+	e, err = entryview.Explain(t.Context(), server.Client(), address, "a.example", "/y/1", "17")
 	is.NoErr(err)
 	is.Equal(e.Reason, "no route")
 }
--- a/internal/node/beliefs.go
+++ b/internal/node/state.go
@@ -7,17 +7,17 @@
 	"strings"
 	"time"
 
-	"github.com/shallotpier/shallotpier/internal/beliefs"
 	"github.com/shallotpier/shallotpier/internal/dispatch"
+	"github.com/shallotpier/shallotpier/internal/entryview"
 	"github.com/shallotpier/shallotpier/internal/owner"
 	"github.com/shallotpier/shallotpier/internal/roster"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
 // State returns a snapshot of the entry's local state for operators.
-func (n *Node) State(now time.Time) *beliefs.View {
+func (n *Node) State(now time.Time) *entryview.View {
 	self := n.Self()
-	b := &beliefs.View{
+	b := &entryview.View{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
 		Running: n.handler.Running(), Known: len(n.Heartbeats.KnownPeers()), EvacuatedZones: n.Roster.Evacuated(),
 		Quarantined: len(n.Quarantine.Entries(now)),
@@ -26,9 +26,9 @@
 		b.Version = c.Version
 	}
 	for kind, version := range self.Changes {
-		b.Store = append(b.Store, beliefs.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
+		b.Store = append(b.Store, entryview.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
 	}
-	slices.SortFunc(b.Store, func(x, y beliefs.StoreState) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(b.Store, func(x, y entryview.StoreState) int { return strings.Compare(x.Name, y.Name) })
 	for _, other := range n.Heartbeats.Alive(now) {
 		b.Entries = append(b.Entries, other.Instance)
 	}
@@ -38,31 +38,31 @@
 	return b
 }
 
-func (n *Node) serverState(now time.Time, m *roster.Member, evacuated []id.Zone) beliefs.Server {
-	s := beliefs.Server{Name: m.Name, Service: m.Service, Zone: m.Zone, Slots: m.Slots, Busy: m.Busy(now), Own: m.InFlight()}
+func (n *Node) serverState(now time.Time, m *roster.Member, evacuated []id.Zone) entryview.Server {
+	s := entryview.Server{Name: m.Name, Service: m.Service, Zone: m.Zone, Slots: m.Slots, Busy: m.Busy(now), Own: m.InFlight()}
 	switch {
 	case m.Leaving:
-		s.State = beliefs.Leaving
+		s.State = entryview.Leaving
 	case slices.Contains(evacuated, m.Zone):
-		s.State = beliefs.Evacuated
+		s.State = entryview.Evacuated
 	case !m.Reachable():
-		s.State = beliefs.Unreachable
+		s.State = entryview.Unreachable
 	case m.Cold(now):
-		s.State = beliefs.Cold
+		s.State = entryview.Cold
 	case !m.Ready(now):
-		s.State = beliefs.Out
+		s.State = entryview.Out
 	case m.Outlier():
-		s.State = beliefs.Outlier
+		s.State = entryview.Outlier
 	default:
-		s.State = beliefs.Usable
+		s.State = entryview.Usable
 	}
 	return s
 }
 
 // Explain returns the server that a request would be sent to now, and why. For a
 // route with several services it returns the service picked by a random draw of 0.
-func (n *Node) Explain(now time.Time, host, path, object string) *beliefs.Explanation {
-	e := &beliefs.Explanation{}
+func (n *Node) Explain(now time.Time, host, path, object string) *entryview.Explanation {
+	e := &entryview.Explanation{}
 	c := n.config.Load()
 	if c == nil {
 		e.Reason = "no configuration"
@@ -94,8 +94,8 @@
 			n.options.Log.Warn("operator response not written", "err", err)
 		}
 	}
-	mux.HandleFunc("GET "+beliefs.Path, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.State(time.Now())) })
-	mux.HandleFunc("GET "+beliefs.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+entryview.Path, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.State(time.Now())) })
+	mux.HandleFunc("GET "+entryview.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		writeJSON(w, n.Explain(time.Now(), q.Get("host"), q.Get("path"), q.Get("object")))
 	})
