--- a/internal/sightings/doc.go
+++ b/internal/crashreports/doc.go
@@ -1,4 +1,4 @@
-// Package sightings exchanges crash reports between entries: reports of
+// Package crashreports exchanges crash reports between entries: reports of
 // requests that crash backend servers.
 //
 // An [Exchange] sends each report to all other entries at once; entries that
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	x := &sightings.Exchange{List: list, Peers: node, Others: live, Rand: rng}
+//	x := &crashreports.Exchange{List: list, Peers: node, Others: live, Rand: rng}
 //	x.Register(node)
 //	go x.Run(ctx)
 //	handler.CrashReporter = x
-package sightings
+package crashreports
--- a/internal/sightings/exchange.go
+++ b/internal/crashreports/exchange.go
@@ -1,4 +1,4 @@
-package sightings
+package crashreports
 
 import (
 	"context"
--- a/internal/sightings/exchange_test.go
+++ b/internal/crashreports/exchange_test.go
@@ -1,4 +1,4 @@
-package sightings_test
+package crashreports_test
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"github.com/matryer/is"
 
+	"github.com/shallotpier/shallotpier/internal/crashreports"
 	"github.com/shallotpier/shallotpier/internal/peer"
 	"github.com/shallotpier/shallotpier/internal/quarantine"
-	"github.com/shallotpier/shallotpier/internal/sightings"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
@@ -61,10 +61,10 @@
 	return json.Unmarshal(raw, result)
 }
 
-func connect(n *network, names ...id.Instance) map[id.Instance]*sightings.Exchange {
-	all := map[id.Instance]*sightings.Exchange{}
+func connect(n *network, names ...id.Instance) map[id.Instance]*crashreports.Exchange {
+	all := map[id.Instance]*crashreports.Exchange{}
 	for i, name := range names {
-		x := &sightings.Exchange{List: &quarantine.List{Instance: name}, Peers: end{n, name}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
+		x := &crashreports.Exchange{List: &quarantine.List{Instance: name}, Peers: end{n, name}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		x.Others = func() []id.Instance {
 			var others []id.Instance
 			for _, o := range names {
@@ -155,7 +155,7 @@
 	f.Fuzz(func(t *testing.T, params string) {
 		n := newNetwork()
 		all := connect(n, "a")
-		_, err := n.handlers["a"][sightings.MethodReport](t.Context(), peer.Sender{}, json.RawMessage(params))
+		_, err := n.handlers["a"][crashreports.MethodReport](t.Context(), peer.Sender{}, json.RawMessage(params))
 		if err != nil && len(all["a"].List.Entries(time.Now())) > 0 {
 			t.Error("a rejected message was applied")
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,6 +18,7 @@
 	"github.com/shallotpier/shallotpier/internal/admission/shared"
 	"github.com/shallotpier/shallotpier/internal/backend"
 	"github.com/shallotpier/shallotpier/internal/config"
+	"github.com/shallotpier/shallotpier/internal/crashreports"
 	"github.com/shallotpier/shallotpier/internal/entry"
 	"github.com/shallotpier/shallotpier/internal/httpserver"
 	"github.com/shallotpier/shallotpier/internal/instances"
@@ -34,7 +35,6 @@
 	"github.com/shallotpier/shallotpier/internal/quarantine"
 	"github.com/shallotpier/shallotpier/internal/routing"
 	"github.com/shallotpier/shallotpier/internal/settings"
-	"github.com/shallotpier/shallotpier/internal/sightings"
 	"github.com/shallotpier/shallotpier/internal/store"
 	"github.com/shallotpier/shallotpier/internal/store/httpstore"
 	"github.com/shallotpier/shallotpier/internal/store/observed"
@@ -80,7 +80,7 @@
 	exchange     *notices.Exchange
 	quarantine   quarantine.List
 	config       *config.Keeper
-	crashReports *sightings.Exchange
+	crashReports *crashreports.Exchange
 	members      membership.Table
 	heartbeat    *membership.Heartbeat
 	loads        loads.Table
@@ -225,7 +225,7 @@
 	}
 	d.exchange.Register(d.node)
 	d.quarantine.Instance = d.Settings.Instance
-	d.crashReports = &sightings.Exchange{List: &d.quarantine, Peers: d.node, Others: d.others, Rand: mathrand(d.incarnation + 1)}
+	d.crashReports = &crashreports.Exchange{List: &d.quarantine, Peers: d.node, Others: d.others, Rand: mathrand(d.incarnation + 1)}
 	d.crashReports.Register(d.node)
 	d.config = &config.Keeper{Store: d.store, Caller: d.node, Peers: d.others, Log: d.Log}
 	d.config.OnChange(d.apply)
