--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -23,7 +23,6 @@
 	"github.com/shallotpier/shallotpier/internal/httpserver"
 	"github.com/shallotpier/shallotpier/internal/instances"
 	"github.com/shallotpier/shallotpier/internal/lease"
-	"github.com/shallotpier/shallotpier/internal/leaving"
 	"github.com/shallotpier/shallotpier/internal/loads"
 	"github.com/shallotpier/shallotpier/internal/lookup"
 	"github.com/shallotpier/shallotpier/internal/membership"
@@ -35,6 +34,7 @@
 	"github.com/shallotpier/shallotpier/internal/quarantine"
 	"github.com/shallotpier/shallotpier/internal/routing"
 	"github.com/shallotpier/shallotpier/internal/settings"
+	"github.com/shallotpier/shallotpier/internal/shutdown"
 	"github.com/shallotpier/shallotpier/internal/store"
 	"github.com/shallotpier/shallotpier/internal/store/httpstore"
 	"github.com/shallotpier/shallotpier/internal/store/observed"
@@ -94,7 +94,7 @@
 	metrics      *metrics.Set
 
 	mu       sync.Mutex
-	shutdown leaving.Sequence
+	shutdown shutdown.Sequence
 	kill     context.CancelCauseFunc
 }
 
@@ -147,7 +147,7 @@
 func (d *Daemon) BeginShutdown() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.shutdown.Phase(time.Now(), 1) == leaving.Serving {
+	if d.shutdown.Phase(time.Now(), 1) == shutdown.Serving {
 		d.Log.Info("leaving")
 	}
 	d.shutdown.Begin(time.Now())
@@ -169,14 +169,14 @@
 }
 
 // phase returns the phase of graceful shutdown.
-func (d *Daemon) phase(running int) leaving.Phase {
+func (d *Daemon) phase(running int) shutdown.Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.shutdown.Phase(time.Now(), running)
 }
 
 // closed reports whether new requests are rejected.
-func (d *Daemon) closed() bool { return d.phase(1) >= leaving.Closed }
+func (d *Daemon) closed() bool { return d.phase(1) >= shutdown.Closed }
 
 // awaitShutdown waits until the entry is closed to new requests and then
 // drains it.
@@ -212,7 +212,7 @@
 	d.started = time.Now()
 	d.incarnation = id.Incarnation(d.started.UnixNano())
 	d.metrics = metrics.NewSet()
-	d.shutdown = leaving.Sequence{Validity: lookup.DefaultValidity, Propagation: propagationTime}
+	d.shutdown = shutdown.Sequence{Validity: lookup.DefaultValidity, Propagation: propagationTime}
 	base := d.Store
 	if base == nil {
 		base = &httpstore.Client{Base: "http://" + d.Settings.Platform.Store.String()}
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -8,7 +8,7 @@
 	"github.com/shallotpier/shallotpier/internal/homes"
 	"github.com/shallotpier/shallotpier/internal/instances"
 	"github.com/shallotpier/shallotpier/internal/lease"
-	"github.com/shallotpier/shallotpier/internal/leaving"
+	"github.com/shallotpier/shallotpier/internal/shutdown"
 	"github.com/shallotpier/shallotpier/internal/slots/wire"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
@@ -125,7 +125,7 @@
 // moves without a handover of its free slots has fewer slots until the longest
 // request deadline has passed.
 func (d *Daemon) wantsHome(name string) bool {
-	if d.phase(1) != leaving.Serving && (d.slots.UnusedReturned() || d.closed()) {
+	if d.phase(1) != shutdown.Serving && (d.slots.UnusedReturned() || d.closed()) {
 		return false
 	}
 	if _, held := d.leases.Held(name); held {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"github.com/shallotpier/shallotpier/internal/admission/pool"
-	"github.com/shallotpier/shallotpier/internal/leaving"
 	"github.com/shallotpier/shallotpier/internal/loads"
 	"github.com/shallotpier/shallotpier/internal/lookup"
 	"github.com/shallotpier/shallotpier/internal/measured"
 	"github.com/shallotpier/shallotpier/internal/membership"
+	"github.com/shallotpier/shallotpier/internal/shutdown"
 	"github.com/shallotpier/shallotpier/pkg/id"
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
@@ -18,7 +18,7 @@
 
 // ownReport returns this entry's own state for its heartbeats.
 func (d *Daemon) ownReport() membership.Own {
-	report := membership.Own{Leaving: d.phase(1) != leaving.Serving, Starting: d.starting()}
+	report := membership.Own{Leaving: d.phase(1) != shutdown.Serving, Starting: d.starting()}
 	t := d.table()
 	if t == nil {
 		return report
@@ -86,7 +86,7 @@
 
 func (d *Daemon) ownState() lookup.State {
 	switch {
-	case d.phase(1) != leaving.Serving:
+	case d.phase(1) != shutdown.Serving:
 		return lookup.Leaving
 	case d.starting():
 		return lookup.Doubtful
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -11,11 +11,11 @@
 
 	"github.com/shallotpier/shallotpier/internal/admission"
 	"github.com/shallotpier/shallotpier/internal/health"
-	"github.com/shallotpier/shallotpier/internal/leaving"
 	"github.com/shallotpier/shallotpier/internal/link"
 	"github.com/shallotpier/shallotpier/internal/measured"
 	"github.com/shallotpier/shallotpier/internal/operator"
 	"github.com/shallotpier/shallotpier/internal/quarantine"
+	"github.com/shallotpier/shallotpier/internal/shutdown"
 	"github.com/shallotpier/shallotpier/internal/slots/wire"
 	"github.com/shallotpier/shallotpier/pkg/id"
 	"github.com/shallotpier/shallotpier/pkg/result"
@@ -33,7 +33,7 @@
 	switch {
 	case s.table() == nil:
 		return eris.New("no configuration yet")
-	case s.phase(1) != leaving.Serving:
+	case s.phase(1) != shutdown.Serving:
 		return eris.New("leaving")
 	case s.starting():
 		return eris.New("starting: waiting until all backend servers have a home entry and the shift cap windows have passed since the start")
@@ -48,7 +48,7 @@
 func (s *source) Status(context.Context) (operator.Status, error) {
 	out := operator.Status{
 		Instance: s.Settings.Instance, Zone: s.Settings.Zone, Region: s.Settings.Region,
-		Incarnation: s.incarnation, Ready: true, Leaving: s.phase(1) != leaving.Serving, Store: s.storeStatus(),
+		Incarnation: s.incarnation, Ready: true, Leaving: s.phase(1) != shutdown.Serving, Store: s.storeStatus(),
 	}
 	if err := s.Ready(); err != nil {
 		out.Ready, out.NotReady = false, err.Error()
@@ -257,7 +257,7 @@
 // Progress implements operator.Source.
 func (s *source) Progress(_ context.Context, t operator.Target) (operator.Progress, error) {
 	if t.Instance != "" {
-		return operator.Progress{Target: t, Draining: s.phase(1) != leaving.Serving}, nil
+		return operator.Progress{Target: t, Draining: s.phase(1) != shutdown.Serving}, nil
 	}
 	if err := s.checkTarget(t); err != nil {
 		return operator.Progress{}, err
--- a/internal/leaving/doc.go
+++ b/internal/shutdown/doc.go
@@ -1,4 +1,4 @@
-// Package leaving implements the phases of graceful shutdown of an entry
+// Package shutdown implements the phases of graceful shutdown of an entry
 // instance.
 //
 // Shutdown passes through the phases in order. While [Serving], the entry is in
@@ -11,12 +11,12 @@
 //
 // # Usage
 //
-//	seq := leaving.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
+//	seq := shutdown.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
 //	seq.Begin(now)
 //	switch seq.Phase(now, running) {
-//	case leaving.Closed:
+//	case shutdown.Closed:
 //		// reject new requests with result.EntryLeaving
-//	case leaving.Done:
+//	case shutdown.Done:
 //		// close the listeners and exit
 //	}
-package leaving
+package shutdown
--- a/internal/leaving/stop.go
+++ b/internal/shutdown/sequence.go
@@ -1,4 +1,4 @@
-package leaving
+package shutdown
 
 import "time"
 
--- a/internal/leaving/stop_test.go
+++ b/internal/shutdown/sequence_test.go
@@ -1,4 +1,4 @@
-package leaving_test
+package shutdown_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/leaving"
+	"github.com/shallotpier/shallotpier/internal/shutdown"
 )
 
 func TestSequencePhase(t *testing.T) {
@@ -15,19 +15,19 @@
 		begun   bool
 		after   time.Duration
 		running int
-		want    leaving.Phase
+		want    shutdown.Phase
 	}{
-		"not begun":                  {after: time.Hour, want: leaving.Serving},
-		"just begun":                 {begun: true, want: leaving.Announced},
-		"idle, answers still valid":  {begun: true, after: 13*time.Second - 1, want: leaving.Announced},
-		"answers expired":            {begun: true, after: 13 * time.Second, running: 1, want: leaving.Closed},
-		"upload running for an hour": {begun: true, after: time.Hour, running: 1, want: leaving.Closed},
-		"no request running":         {begun: true, after: 13 * time.Second, want: leaving.Done},
+		"not begun":                  {after: time.Hour, want: shutdown.Serving},
+		"just begun":                 {begun: true, want: shutdown.Announced},
+		"idle, answers still valid":  {begun: true, after: 13*time.Second - 1, want: shutdown.Announced},
+		"answers expired":            {begun: true, after: 13 * time.Second, running: 1, want: shutdown.Closed},
+		"upload running for an hour": {begun: true, after: time.Hour, running: 1, want: shutdown.Closed},
+		"no request running":         {begun: true, after: 13 * time.Second, want: shutdown.Done},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			stop := leaving.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
+			stop := shutdown.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
 			if tt.begun {
 				stop.Begin(start)
 				stop.Begin(start.Add(time.Minute)) // a second call has no effect
@@ -40,8 +40,8 @@
 func TestSequenceStaysDone(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
-	var stop leaving.Sequence
+	var stop shutdown.Sequence
 	stop.Begin(start)
-	is.Equal(stop.Phase(start, 0), leaving.Done)
-	is.Equal(stop.Phase(start, 1), leaving.Done)
+	is.Equal(stop.Phase(start, 0), shutdown.Done)
+	is.Equal(stop.Phase(start, 1), shutdown.Done)
 }
