--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -8,7 +8,7 @@
 
 	urfave "github.com/urfave/cli/v3"
 
-	"github.com/shallotpier/shallotpier/internal/collect"
+	"github.com/shallotpier/shallotpier/internal/servicefiles"
 	"github.com/shallotpier/shallotpier/pkg/deployment"
 	"github.com/shallotpier/shallotpier/pkg/id"
 	"github.com/shallotpier/shallotpier/pkg/result"
@@ -66,11 +66,11 @@
 
 // collectFiles reads the service files named by the operands. If a deployment is
 // given, every zone and region in them must be part of it.
-func collectFiles(cmd *urfave.Command) ([]collect.File, error) {
+func collectFiles(cmd *urfave.Command) ([]servicefiles.File, error) {
 	if cmd.Args().Len() == 0 {
 		return nil, usagef("name the folders or files to read")
 	}
-	files, err := collect.Read(cmd.Args().Slice()...)
+	files, err := servicefiles.Read(cmd.Args().Slice()...)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 	return deployment.Parse(path, data)
 }
 
-func checkLocations(f collect.File, dep *deployment.Deployment) error {
+func checkLocations(f servicefiles.File, dep *deployment.Deployment) error {
 	problem := func(key string, item int, text string) error {
 		p := &service.FileError{Key: key, Item: item, Code: result.ImpossibleValue, Text: text}
 		return p.Locate(f.Path, f.Data)
--- a/internal/collect/doc.go
+++ b/internal/servicefiles/doc.go
@@ -1,11 +1,11 @@
-// Package collect finds, reads and validates the service files that operators
+// Package servicefiles finds, reads and validates the service files that operators
 // keep next to the code of their services: service.toml and every
 // *.service.toml below the given directories.
 //
 // # Usage
 //
-//	files, err := collect.Files("registry", "vault/evidence.service.toml")
+//	files, err := servicefiles.Files("registry", "vault/evidence.service.toml")
 //	for _, f := range files {
 //		fmt.Println(f.Path, f.File.Service)
 //	}
-package collect
+package servicefiles
--- a/internal/collect/collect.go
+++ b/internal/servicefiles/read.go
@@ -1,4 +1,4 @@
-package collect
+package servicefiles
 
 import (
 	"errors"
--- a/internal/collect/collect_test.go
+++ b/internal/servicefiles/read_test.go
@@ -1,4 +1,4 @@
-package collect_test
+package servicefiles_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/shallotpier/shallotpier/internal/collect"
+	"github.com/shallotpier/shallotpier/internal/servicefiles"
 )
 
 func TestFiles(t *testing.T) {
@@ -42,7 +42,7 @@
 				is.NoErr(os.MkdirAll(filepath.Dir(path), 0o755))
 				is.NoErr(os.WriteFile(path, []byte(content), 0o600))
 			}
-			found, err := collect.Read(tt.args...)
+			found, err := servicefiles.Read(tt.args...)
 			var paths []string
 			for _, f := range found {
 				paths = append(paths, f.Path)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -10,9 +10,9 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/shallotpier/shallotpier/internal/collect"
 	"github.com/shallotpier/shallotpier/internal/httpserver"
 	"github.com/shallotpier/shallotpier/internal/instances"
+	"github.com/shallotpier/shallotpier/internal/servicefiles"
 	"github.com/shallotpier/shallotpier/internal/standin/backend"
 	"github.com/shallotpier/shallotpier/internal/standin/platform"
 	"github.com/shallotpier/shallotpier/pkg/deployment"
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := collect.Read(filepath.Join(folder, "services"))
+	files, err := servicefiles.Read(filepath.Join(folder, "services"))
 	if err != nil {
 		return nil, err
 	}
