--- a/internal/capacity/spread.go
+++ b/internal/capacity/spread.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"runtime"
 
-	"github.com/shallotpier/shallotpier/internal/spread"
+	"github.com/shallotpier/shallotpier/internal/replication"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
@@ -27,7 +27,7 @@
 			Run: func(n int) (float64, error) {
 				nearest := newBlocks(n)
 				defer runtime.KeepAlive(nearest)
-				return heapBytes(func() any { return spread.NewReplica(targetSites, nearest) }), nil
+				return heapBytes(func() any { return replication.NewReplica(targetSites, nearest) }), nil
 			},
 		},
 		{
@@ -45,26 +45,26 @@
 }
 
 func applyCost(blocks int) (float64, error) {
-	r := spread.NewReplica(targetSites, newBlocks(blocks))
+	r := replication.NewReplica(targetSites, newBlocks(blocks))
 	return processorMicros(measuredChanges, func(i int) {
-		r.Advance([]spread.Change{{Kind: spread.SetLeaving, Site: spread.Site(i % targetSites), Weight: 0}})
+		r.Advance([]replication.Change{{Kind: replication.SetLeaving, Site: replication.Site(i % targetSites), Weight: 0}})
 	})
 }
 
-func newEpoch(changes int) spread.Epoch {
-	e := spread.Epoch{Number: 4_000_000, Digest: 1 << 63}
+func newEpoch(changes int) replication.Epoch {
+	e := replication.Epoch{Number: 4_000_000, Digest: 1 << 63}
 	for i := range changes {
-		e.Changes = append(e.Changes, spread.Change{Version: id.Version(4_380_000 + i), Kind: spread.SetWeight, Site: 2000, Weight: 100})
+		e.Changes = append(e.Changes, replication.Change{Version: id.Version(4_380_000 + i), Kind: replication.SetWeight, Site: 2000, Weight: 100})
 	}
 	return e
 }
 
-func newBlocks(n int) [][]spread.Site {
+func newBlocks(n int) [][]replication.Site {
 	r := rand.New(rand.NewPCG(uint64(n), 1))
-	out := make([][]spread.Site, n)
+	out := make([][]replication.Site, n)
 	for b := range out {
 		for range sitesOfBlock {
-			out[b] = append(out[b], spread.Site(r.IntN(targetSites)))
+			out[b] = append(out[b], replication.Site(r.IntN(targetSites)))
 		}
 	}
 	return out
--- a/internal/spread/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package replication_test
 
 import (
 	"encoding/json"
@@ -7,13 +7,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/shallotpier/shallotpier/internal/spread"
+	"github.com/shallotpier/shallotpier/internal/replication"
 )
 
 // row is a computed lookup row as it would be replicated.
 type row struct {
-	Block spread.Block  `json:"block" cbor:"1,keyasint"`
-	Sites []spread.Site `json:"sites" cbor:"2,keyasint"`
+	Block replication.Block  `json:"block" cbor:"1,keyasint"`
+	Sites []replication.Site `json:"sites" cbor:"2,keyasint"`
 }
 
 // BenchmarkShip compares, for an epoch with one change of a site, replicating
@@ -23,10 +23,10 @@
 	const sites = 2100
 	for _, blocks := range []int{1_000, 10_000, 100_000} {
 		nearest := randomNearest(sites, blocks, 7)
-		origin := spread.NewReplica(sites, nearest)
-		leave := []spread.Change{{Version: 12_000, Kind: spread.SetLeaving, Site: 42}}
+		origin := replication.NewReplica(sites, nearest)
+		leave := []replication.Change{{Version: 12_000, Kind: replication.SetLeaving, Site: 42}}
 		origin.Advance(leave)
-		epoch := spread.Epoch{Number: 1, Changes: leave, Digest: origin.Digest()}
+		epoch := replication.Epoch{Number: 1, Changes: leave, Digest: origin.Digest()}
 		var rows []row
 		for _, block := range origin.Changed() {
 			rows = append(rows, row{Block: block, Sites: origin.Row(block)})
@@ -46,16 +46,16 @@
 	}
 }
 
-func benchmarkInputs(b *testing.B, sites int, nearest [][]spread.Site, e *spread.Epoch, marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
+func benchmarkInputs(b *testing.B, sites int, nearest [][]replication.Site, e *replication.Epoch, marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	data, err := marshal(e)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := spread.NewReplica(sites, nearest)
-	back := []spread.Change{{Kind: spread.SetLeaving, Site: 42, Weight: 1}}
+	r := replication.NewReplica(sites, nearest)
+	back := []replication.Change{{Kind: replication.SetLeaving, Site: 42, Weight: 1}}
 	number := uint64(0)
 	for b.Loop() {
-		var got spread.Epoch
+		var got replication.Epoch
 		if err := unmarshal(data, &got); err != nil {
 			b.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	table := make([][]spread.Site, blocks)
+	table := make([][]replication.Site, blocks)
 	for b.Loop() {
 		var got []row
 		if err := unmarshal(data, &got); err != nil {
@@ -98,7 +98,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				spread.NewReplica(2100, nearest)
+				replication.NewReplica(2100, nearest)
 			}
 			b.ReportMetric(float64(len(data)), "wireB")
 		})
--- a/internal/spread/doc.go
+++ b/internal/replication/doc.go
@@ -1,4 +1,4 @@
-// Package spread replicates changes of the steering configuration to every
+// Package replication replicates changes of the steering configuration to every
 // entry and detects entries whose state has diverged.
 //
 // It replicates the inputs, not the results: changes of the configuration, in
@@ -20,10 +20,10 @@
 // # Usage
 //
 //	switch err := replica.Apply(&epoch); {
-//	case errors.Is(err, spread.ErrGap), errors.Is(err, spread.ErrDiverged):
+//	case errors.Is(err, replication.ErrGap), errors.Is(err, replication.ErrDiverged):
 //		// fetch a snapshot from the parent
 //	}
 //	for _, child := range tree.Children(tree.Order(members), self) {
 //		// forward the epoch
 //	}
-package spread
+package replication
--- a/internal/spread/spread_test.go
+++ b/internal/replication/spread_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package replication_test
 
 import (
 	"errors"
@@ -9,17 +9,17 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/shallotpier/shallotpier/internal/spread"
+	"github.com/shallotpier/shallotpier/internal/replication"
 	"github.com/shallotpier/shallotpier/pkg/id"
 )
 
 // randomNearest returns three random sites for each client block.
-func randomNearest(sites, blocks int, seed uint64) [][]spread.Site {
+func randomNearest(sites, blocks int, seed uint64) [][]replication.Site {
 	r := rand.New(rand.NewPCG(seed, 1))
-	nearest := make([][]spread.Site, blocks)
+	nearest := make([][]replication.Site, blocks)
 	for b := range nearest {
 		for range 3 {
-			nearest[b] = append(nearest[b], spread.Site(r.IntN(sites)))
+			nearest[b] = append(nearest[b], replication.Site(r.IntN(sites)))
 		}
 	}
 	return nearest
@@ -27,31 +27,31 @@
 
 func TestReplicaApply(t *testing.T) {
 	nearest := randomNearest(10, 50, 1)
-	origin := spread.NewReplica(10, nearest)
-	first := spread.Epoch{Number: 1, Changes: []spread.Change{{Version: 1, Kind: spread.SetLeaving, Site: 3}}}
+	origin := replication.NewReplica(10, nearest)
+	first := replication.Epoch{Number: 1, Changes: []replication.Change{{Version: 1, Kind: replication.SetLeaving, Site: 3}}}
 	origin.Advance(first.Changes)
 	first.Digest = origin.Digest()
-	second := spread.Epoch{Number: 2, Changes: []spread.Change{{Version: 2, Kind: spread.SetBlock, Block: 7, Sites: []spread.Site{1, 2}}}}
+	second := replication.Epoch{Number: 2, Changes: []replication.Change{{Version: 2, Kind: replication.SetBlock, Block: 7, Sites: []replication.Site{1, 2}}}}
 	origin.Advance(second.Changes)
 	second.Digest = origin.Digest()
 	wrong := first
 	wrong.Digest++
 
 	tests := map[string]struct {
-		epochs []spread.Epoch
+		epochs []replication.Epoch
 		want   error
 		epoch  uint64
 	}{
-		"in order":          {epochs: []spread.Epoch{first, second}, epoch: 2},
-		"repeated":          {epochs: []spread.Epoch{first, first}, want: spread.ErrOld, epoch: 1},
-		"one missing":       {epochs: []spread.Epoch{second}, want: spread.ErrGap},
-		"other digest":      {epochs: []spread.Epoch{wrong}, want: spread.ErrDiverged, epoch: 1},
-		"older after newer": {epochs: []spread.Epoch{first, second, first}, want: spread.ErrOld, epoch: 2},
+		"in order":          {epochs: []replication.Epoch{first, second}, epoch: 2},
+		"repeated":          {epochs: []replication.Epoch{first, first}, want: replication.ErrOld, epoch: 1},
+		"one missing":       {epochs: []replication.Epoch{second}, want: replication.ErrGap},
+		"other digest":      {epochs: []replication.Epoch{wrong}, want: replication.ErrDiverged, epoch: 1},
+		"older after newer": {epochs: []replication.Epoch{first, second, first}, want: replication.ErrOld, epoch: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := spread.NewReplica(10, nearest)
+			r := replication.NewReplica(10, nearest)
 			var err error
 			for _, e := range tt.epochs {
 				err = r.Apply(&e)
@@ -59,8 +59,8 @@
 			is.True(errors.Is(err, tt.want))
 			is.Equal(r.Epoch(), tt.epoch)
 			for b := range nearest {
-				for _, s := range r.Row(spread.Block(b)) {
-					is.True(tt.epoch == 0 || s != 3 || len(r.Row(spread.Block(b))) == 1) // a leaving site is not in the row
+				for _, s := range r.Row(replication.Block(b)) {
+					is.True(tt.epoch == 0 || s != 3 || len(r.Row(replication.Block(b))) == 1) // a leaving site is not in the row
 				}
 			}
 		})
@@ -68,13 +68,13 @@
 }
 
 func TestEpochCheckRejects(t *testing.T) {
-	tests := map[string]spread.Epoch{
+	tests := map[string]replication.Epoch{
 		"no number":         {},
-		"unknown kind":      {Number: 1, Changes: []spread.Change{{Kind: "x"}}},
-		"site too high":     {Number: 1, Changes: []spread.Change{{Kind: spread.SetWeight, Site: 10}}},
-		"weight too high":   {Number: 1, Changes: []spread.Change{{Kind: spread.SetWeight, Weight: spread.MaxWeight + 1}}},
-		"block too high":    {Number: 1, Changes: []spread.Change{{Kind: spread.SetBlock, Block: 50, Sites: []spread.Site{1}}}},
-		"block has no site": {Number: 1, Changes: []spread.Change{{Kind: spread.SetBlock, Block: 1}}},
+		"unknown kind":      {Number: 1, Changes: []replication.Change{{Kind: "x"}}},
+		"site too high":     {Number: 1, Changes: []replication.Change{{Kind: replication.SetWeight, Site: 10}}},
+		"weight too high":   {Number: 1, Changes: []replication.Change{{Kind: replication.SetWeight, Weight: replication.MaxWeight + 1}}},
+		"block too high":    {Number: 1, Changes: []replication.Change{{Kind: replication.SetBlock, Block: 50, Sites: []replication.Site{1}}}},
+		"block has no site": {Number: 1, Changes: []replication.Change{{Kind: replication.SetBlock, Block: 1}}},
 	}
 	for name, e := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -89,20 +89,20 @@
 func TestReplicaDigestEqualsRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nearest := randomNearest(8, 20, 3)
-		incremental := spread.NewReplica(8, nearest)
-		var all []spread.Change
+		incremental := replication.NewReplica(8, nearest)
+		var all []replication.Change
 		for range rapid.IntRange(1, 10).Draw(t, "epochs") {
-			c := spread.Change{
-				Kind:   rapid.SampledFrom([]spread.Kind{spread.SetWeight, spread.SetLeaving, spread.SetBlock}).Draw(t, "kind"),
-				Site:   spread.Site(rapid.IntRange(0, 7).Draw(t, "site")),
+			c := replication.Change{
+				Kind:   rapid.SampledFrom([]replication.Kind{replication.SetWeight, replication.SetLeaving, replication.SetBlock}).Draw(t, "kind"),
+				Site:   replication.Site(rapid.IntRange(0, 7).Draw(t, "site")),
 				Weight: uint16(rapid.IntRange(0, 2).Draw(t, "weight")),
-				Block:  spread.Block(rapid.IntRange(0, 19).Draw(t, "block")),
-				Sites:  []spread.Site{spread.Site(rapid.IntRange(0, 7).Draw(t, "to"))},
+				Block:  replication.Block(rapid.IntRange(0, 19).Draw(t, "block")),
+				Sites:  []replication.Site{replication.Site(rapid.IntRange(0, 7).Draw(t, "to"))},
 			}
 			all = append(all, c)
-			incremental.Advance([]spread.Change{c})
+			incremental.Advance([]replication.Change{c})
 		}
-		rebuilt := spread.NewReplica(8, nearest)
+		rebuilt := replication.NewReplica(8, nearest)
 		rebuilt.Advance(all)
 		if incremental.Digest() != rebuilt.Digest() {
 			t.Fatalf("digest %x after single changes, %x after all at once", incremental.Digest(), rebuilt.Digest())
@@ -114,7 +114,7 @@
 	for _, n := range []int{1, 2, 7, 165, 700} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			tree := spread.Tree{Relays: 2, Fanout: 8}
+			tree := replication.Tree{Relays: 2, Fanout: 8}
 			var members []id.Instance
 			for i := range n {
 				members = append(members, id.Instance(fmt.Sprintf("entry-%d", i)))
@@ -148,7 +148,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(spread.Tree{Relays: 2, Fanout: 8}.Depth(tt.members), tt.want)
+			is.New(t).Equal(replication.Tree{Relays: 2, Fanout: 8}.Depth(tt.members), tt.want)
 		})
 	}
 }
--- a/internal/spread/tree.go
+++ b/internal/replication/tree.go
@@ -1,4 +1,4 @@
-package spread
+package replication
 
 import (
 	"cmp"
