--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,11 +10,12 @@
 //
 // The next server in the object's ranking takes over as owner if the first one
 // failed, is an outlier in its service, or is cold and has used up its rate. It also
-// gets the request if the owner has a long queue and it has a free slot itself. The
-// ranking is the same at all entries, so an object that is too hot for one server
-// gets a second one that all entries use. While no server has a free slot, requests
-// stay with their owners or are refused: they take more work at any other server, and
-// the overload would sustain itself.
+// gets the request if the owner has a long queue and it has spare capacity itself.
+// The ranking is the same at all entries, so an object that is too hot for one server
+// gets a second one that all entries use. A server that recently handled the object
+// and is less busy gets requests on it as soon as the owner has no free slot. While
+// no server has spare capacity, requests stay with their owners or are refused: they
+// take more work at any other server, and the overload would sustain itself.
 //
 // # Usage
 //
@@ -59,10 +60,10 @@
 	// Answers that come much later are worth little, and the queue would delay the
 	// requests behind them as well.
 	queueObjectives = 1.5
-	// surelyInTime leaves room for the variance of response times. Of the requests
+	// alwaysQueueShare leaves room for the variance of response times. Of the requests
 	// that are expected to take all of their time, about half miss their deadline,
 	// and their work is lost.
-	surelyInTime = 0.6
+	alwaysQueueShare = 0.6
 )
 
 const (
@@ -169,8 +170,7 @@
 		AlwaysQueueShare float64
 	}
 
-	// candidate is a server with its rank for a request. The lowest in the order of
-	// before is the best.
+	// candidate is a server with the properties that rank it for a request.
 	candidate struct {
 		member  *roster.Member
 		healthy bool // not an outlier
@@ -185,11 +185,12 @@
 		FullQueue: cmp.Or(l.FullQueue, fullQueue), Overflow: cmp.Or(l.Overflow, overflow),
 		WarmLoad: cmp.Or(l.WarmLoad, warmLoad), WarmShare: cmp.Or(l.WarmShare, warmShare),
 		SpareLoad: cmp.Or(l.SpareLoad, spareLoad), QueueObjectives: cmp.Or(l.QueueObjectives, queueObjectives),
-		AlwaysQueueShare: cmp.Or(l.AlwaysQueueShare, surelyInTime),
+		AlwaysQueueShare: cmp.Or(l.AlwaysQueueShare, alwaysQueueShare),
 	}
 }
 
-// Choose returns the server for a request, with the request already begun there.
+// Choose returns the server for a request and begins the request there: the caller
+// must call End of the server.
 func (d *Dispatcher) Choose(now time.Time, req *Request) Choice {
 	view := d.Roster.View()
 	req = d.withPlacement(view, req)
@@ -262,9 +263,10 @@
 }
 
 // inTime reports whether a request that queues at a server is expected to be answered
-// in time. If the expected latency is between [Limits.AlwaysQueueShare] and all of the available
-// time, a fraction of the requests is refused that grows with the expected latency:
-// entries that see the same load then don't all start refusing at the same moment.
+// in time. If the expected latency is between [Limits.AlwaysQueueShare] and all of
+// the available time, a fraction of the requests is refused that grows with the
+// expected latency: entries that see the same load then don't all start refusing at
+// the same moment.
 func inTime(now time.Time, m *roster.Member, req *Request, limits *Limits) bool {
 	left := req.Left
 	if o := time.Duration(float64(req.Route.Objective) * limits.QueueObjectives); o > 0 && (left <= 0 || o < left) {
@@ -349,6 +351,7 @@
 	return &out
 }
 
+// before reports whether c ranks above o.
 func (c *candidate) before(o *candidate) bool {
 	switch {
 	case c.healthy != o.healthy:
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -83,8 +83,8 @@
 func TestLocalUploadShareFollowsServerCount(t *testing.T) {
 	const keys = 2000
 	tests := map[string]struct {
-		own, others int
-		local       float64 // part of the objects that the region's servers own
+		own, others int     // servers in the region and in the other one
+		local       float64 // share of the objects that the region's servers own
 	}{
 		"no servers":         {0, 10, 0},
 		"few servers":        {2, 18, 0.2 + 0.8*0.1}, // and its share of the remaining 0.8
@@ -123,7 +123,7 @@
 		"owner free":                 {0, 0, dispatch.Owner},
 		"owner has a short queue":    {2*slots - 1, 0, dispatch.Owner},
 		"owner has a long queue":     {2 * slots, 0, dispatch.Spill},
-		"all have all slots in use":  {2 * slots, slots, dispatch.Queue},
+		"no server has a free slot":  {2 * slots, slots, dispatch.Queue},
 		"queue is at the limit":      {5 * slots / 2, slots, dispatch.Full},
 		"owner full and others free": {4 * slots, 0, dispatch.Spill},
 		"others have half in use":    {2 * slots, slots / 2, dispatch.Queue},
