--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -275,7 +275,7 @@
 	if left <= 0 {
 		return true
 	}
-	share := float64(m.Expected(now)) / float64(left)
+	share := float64(m.ExpectedLatency(now)) / float64(left)
 	return share < limits.AlwaysQueueShare+(1-limits.AlwaysQueueShare)*req.Draw
 }
 
--- a/internal/roster/check.go
+++ b/internal/roster/check.go
@@ -10,7 +10,8 @@
 // DueChecks returns the servers that are due for an active connection check, so that no
 // request has to detect whether they are reachable again: servers whose last
 // connection failed, and one server at a time of each unreachable zone. The caller
-// reports the results to [Roster.RecordCheck]. Checks is called several times a second.
+// reports the results to [Roster.RecordCheck]. DueChecks is called several times a
+// second.
 func (r *Roster) DueChecks(now time.Time) []*Member {
 	var due []*Member
 	zones := make(map[id.Zone][]*Member)
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -24,7 +24,7 @@
 		Seed uint64
 
 		graceEnd time.Time
-		cold     ServiceConfig
+		config   ServiceConfig
 		sharing  *sharing
 		state    *state
 		zone     *reachability
@@ -90,7 +90,7 @@
 	if !m.sharing.known {
 		return 0
 	}
-	bound := m.cold.ColdRate*m.sharing.bound.Overshoot + m.sharing.bound.Allowance
+	bound := m.config.ColdRate*m.sharing.bound.Overshoot + m.sharing.bound.Allowance
 	return coldrate.Share(bound, len(m.sharing.others)+1, m.sharing.rank(m.Seed))
 }
 
@@ -118,14 +118,14 @@
 // Busy estimates the number of requests of all entries at the server, from its last
 // report, this entry's own count, and the mean load of its service.
 func (m *Member) Busy(now time.Time) float64 {
-	usual, work := m.baseline.mean(now)
+	load, work := m.baseline.mean(now)
 	m.state.mu.Lock()
 	defer m.state.mu.Unlock()
-	return m.state.busy(now, usual*float64(m.Slots), m.loadHalfLife(work))
+	return m.state.busy(now, load*float64(m.Slots), m.loadHalfLife(work))
 }
 
-// Expected estimates the latency of one more request, 0 if nothing is known.
-func (m *Member) Expected(now time.Time) time.Duration {
+// ExpectedLatency estimates the latency of one more request, 0 if nothing is known.
+func (m *Member) ExpectedLatency(now time.Time) time.Duration {
 	return m.baseline.expected(m.Busy(now) / float64(m.Slots))
 }
 
@@ -135,7 +135,8 @@
 	return max(minLoadHalfLife, time.Duration(m.state.others/float64(m.Slots)*float64(work)/2))
 }
 
-// Outlier reports whether the server fails or lags in comparison with its service.
+// Outlier reports whether the server fails much more often or is much slower than the
+// mean of its service.
 func (m *Member) Outlier() bool {
 	m.state.mu.Lock()
 	defer m.state.mu.Unlock()
@@ -149,7 +150,7 @@
 	return m.state.ready(now, m)
 }
 
-// Begin counts a request and returns true, if one may be begun now.
+// Begin counts a request and returns true, if the server may get one now.
 func (m *Member) Begin(now time.Time) bool {
 	s := m.state
 	s.mu.Lock()
@@ -189,7 +190,7 @@
 	s.inFlight--
 	if o.Event == health.Answered && s.health.Ejected() {
 		// An unreachable server may have been restarted and is cold again.
-		s.coldUntil = later(s.coldUntil, now.Add(m.cold.ColdTime))
+		s.coldUntil = later(s.coldUntil, now.Add(m.config.ColdTime))
 	}
 	switch {
 	case o.Reached, o.Event == health.Answered:
@@ -213,14 +214,15 @@
 	m.baseline.observe(now, s.others/float64(m.Slots))
 }
 
-// busy estimates the number of requests of all entries. The server's last report
-// decays towards usual, the expected number of other entries' requests.
-func (s *state) busy(now time.Time, usual float64, fade time.Duration) float64 {
-	known := 0.0
+// busy estimates the number of requests of all entries. The number of other entries'
+// requests in the server's last report decays towards mean, the number at an average
+// server of the service.
+func (s *state) busy(now time.Time, mean float64, halfLife time.Duration) float64 {
+	weight := 0.0
 	if !s.reported.IsZero() {
-		known = math.Exp2(-float64(now.Sub(s.reported)) / float64(fade))
+		weight = math.Exp2(-float64(now.Sub(s.reported)) / float64(halfLife))
 	}
-	return float64(s.inFlight) + s.others*known + usual*(1-known)
+	return float64(s.inFlight) + s.others*weight + mean*(1-weight)
 }
 
 func (s *state) stats(now time.Time) outlier.Stats {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	r := &roster.Roster{Grace: 2500 * time.Millisecond}
+//	r := &roster.Roster{Grace: 2500 * time.Millisecond, Log: log}
 //	r.Put(now, server)
 //	for _, m := range r.View().Members("registry") {
 //		if m.Ready(now) && m.Begin(now) {
@@ -98,17 +98,17 @@
 
 		view atomic.Pointer[View]
 
-		mu        sync.Mutex
-		members   map[id.Server]*Member
-		zones     map[id.Zone]*reachability
-		baselines map[id.Service]*baseline
-		services  map[id.Service]ServiceConfig
-		evacuated map[id.Zone]bool
-		resumed   time.Time
-		self      netip.AddrPort
-		others    []netip.AddrPort
-		sharing   sharing
-		published *sharing // copy used by the current view
+		mu             sync.Mutex
+		members        map[id.Server]*Member
+		zones          map[id.Zone]*reachability
+		baselines      map[id.Service]*baseline
+		services       map[id.Service]ServiceConfig
+		evacuated      map[id.Zone]bool
+		storeRecovered time.Time
+		self           netip.AddrPort
+		others         []netip.AddrPort
+		sharing        sharing
+		published      *sharing // copy used by the current view
 	}
 
 	// sharing determines how the entries divide a cold server's rate. The seeds
@@ -216,7 +216,7 @@
 func (r *Roster) StoreRecovered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.resumed = now
+	r.storeRecovered = now
 }
 
 // Step removes the servers whose grace period has passed and runs outlier detection
@@ -237,7 +237,7 @@
 	r.detectOutliers(now)
 }
 
-// detectOutliers compares the servers of each service.
+// detectOutliers compares each server with the mean of its service.
 func (r *Roster) detectOutliers(now time.Time) {
 	for _, list := range r.View().services {
 		var mean outlier.Stats
@@ -252,8 +252,8 @@
 	}
 }
 
-// SetEvacuated sets the zones whose servers get no requests. The servers of a zone whose
-// evacuation ends are treated as cold.
+// SetEvacuated sets the zones whose servers get no requests. The servers of a zone
+// whose evacuation ends are treated as cold.
 func (r *Roster) SetEvacuated(now time.Time, zones map[id.Zone]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -365,10 +365,10 @@
 	if m == nil {
 		return false
 	}
-	if !r.resumed.IsZero() && now.Before(r.resumed.Add(r.Grace)) && !m.Leaving {
+	if !r.storeRecovered.IsZero() && now.Before(r.storeRecovered.Add(r.Grace)) && !m.Leaving {
 		if m.graceEnd.IsZero() {
 			kept := *m
-			kept.graceEnd = r.resumed.Add(r.Grace)
+			kept.graceEnd = r.storeRecovered.Add(r.Grace)
 			r.members[name] = &kept
 			r.Log.Info("backend server kept after a store outage", "server", name, "until", kept.graceEnd)
 		}
@@ -467,7 +467,7 @@
 // configured returns a copy of the member with the configuration of its service.
 func (r *Roster) configured(m *Member, shared *sharing) *Member {
 	c := *m
-	c.cold, c.sharing = r.services[m.Service], shared
+	c.config, c.sharing = r.services[m.Service], shared
 	return &c
 }
 
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -216,7 +216,7 @@
 			members[0].End(start, tt.outcome)
 			now := start.Add(tt.at)
 			is.True(math.Abs(members[1].Busy(now)-tt.busy) < 0.01)
-			is.Equal(members[1].Expected(now).Round(time.Millisecond), tt.expected)
+			is.Equal(members[1].ExpectedLatency(now).Round(time.Millisecond), tt.expected)
 		})
 	}
 }
