--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -453,7 +453,8 @@
 }
 
 // retryAfter returns a Retry-After time with jitter, between 1/8 and 1/4 of the
-// time left, so that refused callers return spread out and before their deadline.
+// time left, so that the retries of refused callers are distributed over time and come
+// before their deadline.
 func (c *call) retryAfter() time.Duration {
 	if c.deadline.IsZero() {
 		return time.Second
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -15,7 +15,8 @@
 //
 //	h := &forward.Handler{
 //		Config: current.Load, Dispatcher: &dispatch.Dispatcher{Roster: r},
-//		Upstream: client, Headers: names, Log: log, Metrics: set,
+//		Upstream: client, Quarantine: list, RetryLimits: limits, Leaving: leaving,
+//		Headers: names, Load: loadReport, StoreAge: age, Log: log, Metrics: set,
 //	}
 //	http.Serve(listener, h)
 package forward
@@ -76,7 +77,7 @@
 		// Share is the fraction of a service's requests that may be retried.
 		Share float64
 		// Allowance is the number of retries allowed in addition per
-		// retry.Window.
+		// [retry.Window].
 		Allowance float64
 	}
 
