--- a/internal/outlier/baseline.go
+++ b/internal/outlier/baseline.go
@@ -26,7 +26,7 @@
 	if b.mean == 0 {
 		b.mean = s
 	}
-	times := s / b.mean
+	ratio := s / b.mean
 	b.mean += baselineWeight * (s - b.mean)
-	return times
+	return ratio
 }
--- a/internal/outlier/record.go
+++ b/internal/outlier/record.go
@@ -58,15 +58,15 @@
 
 // Observe records one request: whether it succeeded, and its latency as a multiple of
 // the baseline; 0 if the latency is not meaningful.
-func (r *Record) Observe(now time.Time, ok bool, times float64) {
+func (r *Record) Observe(now time.Time, ok bool, latencyRatio float64) {
 	r.decay(now)
 	failed := 0.0
 	if !ok {
 		failed = 1
 	}
 	r.stats.Failures += weight * (failed - r.stats.Failures)
-	if ok && times > 0 {
-		r.stats.Excess += weight * (max(times-1, 0) - r.stats.Excess)
+	if ok && latencyRatio > 0 {
+		r.stats.Excess += weight * (max(latencyRatio-1, 0) - r.stats.Excess)
 	}
 }
 
--- a/internal/outlier/record_test.go
+++ b/internal/outlier/record_test.go
@@ -13,8 +13,8 @@
 	const requests = 40
 	var none outlier.Stats
 	tests := map[string]struct {
-		failEach int // every n-th request fails, 0 for none
-		times    float64
+		failEach int     // every n-th request fails, 0 for none
+		ratio    float64 // latency as a multiple of the baseline
 		mean     outlier.Stats
 		pause    time.Duration
 		want     bool
@@ -37,7 +37,7 @@
 			var r outlier.Record
 			for i := 1; i <= requests; i++ {
 				now = now.Add(20 * time.Millisecond)
-				r.Observe(now, tt.failEach == 0 || i%tt.failEach != 0, tt.times)
+				r.Observe(now, tt.failEach == 0 || i%tt.failEach != 0, tt.ratio)
 			}
 			is.Equal(r.Outlier(now.Add(tt.pause), tt.mean), tt.want)
 		})
