--- a/internal/health/doc.go
+++ b/internal/health/doc.go
@@ -3,7 +3,7 @@
 //
 // There are three sources of information on a server. Its probe and its load report
 // arrive late and may be wrong. The results of the entry's own requests are newer,
-// but known at this entry alone. An [Tracker] combines the three into one decision,
+// but known at this entry alone. A [Tracker] combines the three into one decision,
 // whether to send. If they disagree, the worse one decides:
 //
 //   - Two consecutive failures (no connection, or a connection closed before the
@@ -24,14 +24,14 @@
 //
 // # Usage
 //
-//	switch v, retryAfter := op.MaySend(now, probe, report); v {
+//	switch v, retryAfter := tracker.MaySend(now, probe, report); v {
 //	case health.Yes:
 //		send()
 //	case health.Trial:
-//		op.BeginTrial(now)
+//		tracker.BeginTrial(now)
 //		send() // a read, if there is a choice
 //	default:
 //		next(retryAfter)
 //	}
-//	op.Observe(now, health.Answered)
+//	tracker.Observe(now, health.Answered)
 package health
--- a/internal/health/opinion.go
+++ b/internal/health/tracker.go
@@ -99,90 +99,90 @@
 }
 
 // Observe records the result of a send.
-func (o *Tracker) Observe(now time.Time, e Event) {
-	onTrial := o.onTrial(now)
-	o.trialBegun = time.Time{} // another trial may begin
+func (t *Tracker) Observe(now time.Time, e Event) {
+	onTrial := t.onTrial(now)
+	t.trialBegun = time.Time{} // another trial may begin
 	switch e {
 	case Answered:
-		o.lastAnswer = now
-		o.failures, o.backoff, o.shedPause, o.ejected = 0, 0, 0, false
+		t.lastAnswer = now
+		t.failures, t.backoff, t.shedPause, t.ejected = 0, 0, 0, false
 	case Shed:
-		o.shedPause = grow(o.shedPause, minShedPause, maxShedPause)
-		o.blockedUntil = later(o.blockedUntil, now.Add(o.shedPause))
+		t.shedPause = grow(t.shedPause, minShedPause, maxShedPause)
+		t.blockedUntil = later(t.blockedUntil, now.Add(t.shedPause))
 	case ConnectFailed, ConnectionClosed:
-		o.failures++
-		if o.failures >= maxFailures || onTrial {
-			o.ejected = true
-			o.backoff = grow(o.backoff, minBackoff, maxBackoff)
-			o.blockedUntil = later(o.blockedUntil, now.Add(o.backoff))
+		t.failures++
+		if t.failures >= maxFailures || onTrial {
+			t.ejected = true
+			t.backoff = grow(t.backoff, minBackoff, maxBackoff)
+			t.blockedUntil = later(t.blockedUntil, now.Add(t.backoff))
 		}
 	case TimedOut:
-		o.lastStall = now
+		t.lastStall = now
 	}
 }
 
 // Reached records that the server accepted a connection after failures: it may be
 // tried at once.
-func (o *Tracker) Reached(now time.Time) {
-	if o.blockedUntil.After(now) {
-		o.blockedUntil = now
+func (t *Tracker) Reached(now time.Time) {
+	if t.blockedUntil.After(now) {
+		t.blockedUntil = now
 	}
-	o.backoff = 0
+	t.backoff = 0
 }
 
 // Ejected reports whether failures ejected the server and no answer arrived since.
-func (o *Tracker) Ejected() bool { return o.ejected }
+func (t *Tracker) Ejected() bool { return t.ejected }
 
 // BeginTrial records that a request is sent under the verdict Trial.
-func (o *Tracker) BeginTrial(now time.Time) { o.trialBegun = now }
+func (t *Tracker) BeginTrial(now time.Time) { t.trialBegun = now }
 
 // MaySend returns the verdict, and for No the time after which to ask again. The
 // value of probe is whether the server answered it.
-func (o *Tracker) MaySend(now time.Time, probe measured.Value[bool], report measured.Value[Report]) (v Verdict, retryAfter time.Duration) {
+func (t *Tracker) MaySend(now time.Time, probe measured.Value[bool], report measured.Value[Report]) (v Verdict, retryAfter time.Duration) {
 	switch {
-	case now.Before(o.blockedUntil):
-		return No, o.blockedUntil.Sub(now)
+	case now.Before(t.blockedUntil):
+		return No, t.blockedUntil.Sub(now)
 	case refuses(now, report):
 		return No, minBackoff
-	case !o.ejected && !o.doubtful(now, probe, report):
+	case !t.ejected && !t.doubtful(now, probe, report):
 		return Yes, 0
-	case o.onTrial(now):
+	case t.onTrial(now):
 		return No, minShedPause
 	default:
 		return Trial, 0
 	}
 }
 
-func (o *Tracker) onTrial(now time.Time) bool {
-	return !o.trialBegun.IsZero() && now.Sub(o.trialBegun) < trialTimeout
+func (t *Tracker) onTrial(now time.Time) bool {
+	return !t.trialBegun.IsZero() && now.Sub(t.trialBegun) < trialTimeout
 }
 
 // Unproven reports whether no source contradicts the server's health, so that the
 // verdict Trial is only due to a lack of fresh information.
-func (o *Tracker) Unproven(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
-	return !o.ejected && !now.Before(o.blockedUntil) && !refuses(now, report) && !o.suspect(now, probe)
+func (t *Tracker) Unproven(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
+	return !t.ejected && !now.Before(t.blockedUntil) && !refuses(now, report) && !t.suspect(now, probe)
 }
 
 // doubtful reports whether the newest information on the server is negative, or none
 // of it is fresh.
-func (o *Tracker) doubtful(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
-	if o.suspect(now, probe) {
+func (t *Tracker) doubtful(now time.Time, probe measured.Value[bool], report measured.Value[Report]) bool {
+	if t.suspect(now, probe) {
 		return true
 	}
 	_, probed := probe.Read(now, MaxAge)
 	_, reported := validReport(now, report)
-	return now.Sub(o.lastAnswer) > MaxAge && probed != measured.Fresh && !reported
+	return now.Sub(t.lastAnswer) > MaxAge && probed != measured.Fresh && !reported
 }
 
 // suspect reports whether a connection stalled or a probe failed after the last
 // answer.
-func (o *Tracker) suspect(now time.Time, probe measured.Value[bool]) bool {
-	if o.lastAnswer.Before(o.lastStall) {
+func (t *Tracker) suspect(now time.Time, probe measured.Value[bool]) bool {
+	if t.lastAnswer.Before(t.lastStall) {
 		return true
 	}
 	good, state := probe.Read(now, MaxAge)
 	age, _ := probe.Age(now)
-	return state == measured.Fresh && !good && now.Add(-age).After(o.lastAnswer)
+	return state == measured.Fresh && !good && now.Add(-age).After(t.lastAnswer)
 }
 
 func refuses(now time.Time, v measured.Value[Report]) bool {
--- a/internal/health/opinion_test.go
+++ b/internal/health/tracker_test.go
@@ -55,11 +55,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var o health.Tracker
+			var tracker health.Tracker
 			if tt.answered > 0 {
-				o.Observe(start.Add(-tt.answered), health.Answered)
+				tracker.Observe(start.Add(-tt.answered), health.Answered)
 			}
-			got, _ := o.MaySend(start, tt.probe, tt.report)
+			got, _ := tracker.MaySend(start, tt.probe, tt.report)
 			is.Equal(got, tt.want)
 		})
 	}
@@ -85,14 +85,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var o health.Tracker
-			o.Observe(start, health.Answered)
+			var tracker health.Tracker
+			tracker.Observe(start, health.Answered)
 			now := start
 			for _, e := range tt.events {
 				now = now.Add(10 * time.Millisecond)
-				o.Observe(now, e)
+				tracker.Observe(now, e)
 			}
-			got, _ := o.MaySend(now, noProbe, noReport)
+			got, _ := tracker.MaySend(now, noProbe, noReport)
 			is.Equal(got, tt.want)
 		})
 	}
@@ -102,28 +102,28 @@
 // its probe, and normal traffic after the first answer.
 func TestEjectedServerRecoversByTrial(t *testing.T) {
 	is := is.New(t)
-	var o health.Tracker
+	var tracker health.Tracker
 	now := start
-	o.Observe(now, health.ConnectFailed)
-	o.Observe(now, health.ConnectFailed)
+	tracker.Observe(now, health.ConnectFailed)
+	tracker.Observe(now, health.ConnectFailed)
 	for _, wait := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
-		v, retryAfter := o.MaySend(now, measured.At(true, now), noReport)
+		v, retryAfter := tracker.MaySend(now, measured.At(true, now), noReport)
 		is.Equal(v, health.No)
 		is.Equal(retryAfter, wait*time.Second)
 		now = now.Add(retryAfter)
-		v, _ = o.MaySend(now, measured.At(true, now), noReport)
+		v, _ = tracker.MaySend(now, measured.At(true, now), noReport)
 		is.Equal(v, health.Trial)
-		o.BeginTrial(now)
-		v, _ = o.MaySend(now, measured.At(true, now), noReport)
+		tracker.BeginTrial(now)
+		v, _ = tracker.MaySend(now, measured.At(true, now), noReport)
 		is.Equal(v, health.No) // a trial is running
-		o.Observe(now, health.ConnectionClosed)
+		tracker.Observe(now, health.ConnectionClosed)
 	}
 	now = now.Add(time.Minute)
-	o.BeginTrial(now)
-	v, _ := o.MaySend(now.Add(time.Minute), noProbe, noReport)
+	tracker.BeginTrial(now)
+	v, _ := tracker.MaySend(now.Add(time.Minute), noProbe, noReport)
 	is.Equal(v, health.Trial) // a trial without a result times out
-	o.Observe(now, health.Answered)
-	v, _ = o.MaySend(now, noProbe, noReport)
+	tracker.Observe(now, health.Answered)
+	v, _ = tracker.MaySend(now, noProbe, noReport)
 	is.Equal(v, health.Yes)
 }
 
@@ -143,51 +143,51 @@
 // No sequence of events ejects a server permanently.
 func TestServerIsNeverEjectedPermanently(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var o health.Tracker
+		var tracker health.Tracker
 		now := start
 		for range rapid.IntRange(0, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 5).Draw(t, "trial") == 0 {
-				o.BeginTrial(now)
+				tracker.BeginTrial(now)
 			}
-			o.Observe(now, health.Event(rapid.IntRange(0, 6).Draw(t, "event")))
+			tracker.Observe(now, health.Event(rapid.IntRange(0, 6).Draw(t, "event")))
 		}
 		now = now.Add(time.Minute)
-		if v, _ := o.MaySend(now, noProbe, noReport); v == health.No {
+		if v, _ := tracker.MaySend(now, noProbe, noReport); v == health.No {
 			t.Fatal("still ejected after a minute without events")
 		}
 	})
 }
 
 func BenchmarkMaySend(b *testing.B) {
-	var o health.Tracker
-	o.Observe(start, health.Answered)
+	var tracker health.Tracker
+	tracker.Observe(start, health.Answered)
 	probe := measured.At(true, start)
 	report := measured.At(health.Report{Slots: 6}, start)
 	b.ReportAllocs()
 	for b.Loop() {
-		o.MaySend(start, probe, report)
+		tracker.MaySend(start, probe, report)
 	}
 }
 
 // A server on trial is ejected by a single failure.
 func TestFailedTrialEjectsServer(t *testing.T) {
 	is := is.New(t)
-	var o health.Tracker // no information: trial
-	o.BeginTrial(start)
-	o.Observe(start, health.ConnectFailed)
-	v, _ := o.MaySend(start, measured.At(true, start), noReport)
+	var tracker health.Tracker // no information: trial
+	tracker.BeginTrial(start)
+	tracker.Observe(start, health.ConnectFailed)
+	v, _ := tracker.MaySend(start, measured.At(true, start), noReport)
 	is.Equal(v, health.No)
 }
 
 // A trial without a result, as when its caller disconnected, allows another trial.
 func TestTrialWithoutResultAllowsAnother(t *testing.T) {
 	is := is.New(t)
-	var o health.Tracker
-	o.BeginTrial(start)
-	v, _ := o.MaySend(start, noProbe, noReport)
+	var tracker health.Tracker
+	tracker.BeginTrial(start)
+	v, _ := tracker.MaySend(start, noProbe, noReport)
 	is.Equal(v, health.No)
-	o.Observe(start, health.Neutral)
-	v, _ = o.MaySend(start, noProbe, noReport)
+	tracker.Observe(start, health.Neutral)
+	v, _ = tracker.MaySend(start, noProbe, noReport)
 	is.Equal(v, health.Trial)
 }
