--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	seed := owner.Seed("i-7f3a91c2") // once a server
+//	seed := owner.Seed("i-7f3a91c2") // once per server
 //	key := owner.Key(svc, "17")
 //	score := owner.Score(key, seed)
 package owner
