--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -25,30 +25,30 @@
 		change func(*retry.Try)
 		want   bool
 	}{
-		"read that was cut":         {func(*retry.Try) {}, true},
-		"write that was cut":        {func(t *retry.Try) { t.Kind = service.Write }, false},
-		"upload that was cut":       {func(t *retry.Try) { t.Kind = service.Upload }, false},
-		"at-most-once that was cut": {func(t *retry.Try) { t.Kind = service.Once }, false},
-		"write not connected":       {func(t *retry.Try) { t.Kind, t.Code = service.Write, result.ConnectFailed }, true},
-		"at-most-once shed":         {func(t *retry.Try) { t.Kind, t.Code = service.Once, result.ShedByServer }, true},
-		"unknown kind, cut":         {func(t *retry.Try) { t.Kind = "" }, false},
-		"served":                    {func(t *retry.Try) { t.Code = result.Served }, false},
-		"quarantined":               {func(t *retry.Try) { t.Code = result.Quarantined }, false},
-		"late":                      {func(t *retry.Try) { t.Code = result.AnswerLate }, false},
-		"unknown code":              {func(t *retry.Try) { t.Code = -1 }, false},
-		"last attempt":              {func(t *retry.Try) { t.Sends = 3 }, false},
-		"never sent":                {func(t *retry.Try) { t.Sends = 0 }, false},
-		"negative sends":            {func(t *retry.Try) { t.Sends = -1 }, false},
-		"negative attempts":         {func(t *retry.Try) { t.Attempts = -1 }, false},
-		"deadline passed":           {func(t *retry.Try) { t.Deadline = start }, false},
-		"no deadline":               {func(t *retry.Try) { t.Deadline = time.Time{} }, false},
-		"too little time":           {func(t *retry.Try) { t.Deadline = start.Add(90 * time.Millisecond) }, false},
-		"latency fits":              {latency(900*time.Millisecond, 0), true},
-		"latency doesn't fit":       {latency(time.Second, 0), false},
-		"latency stale":             {latency(time.Hour, 2*time.Minute), true},
-		"latency from the future":   {latency(time.Hour, -time.Minute), true},
-		"latency negative":          {latency(-time.Hour, 0), true},
-		"latency out of range":      {latency(math.MaxInt64, 0), true},
+		"truncated read":           {func(*retry.Try) {}, true},
+		"truncated write":          {func(t *retry.Try) { t.Kind = service.Write }, false},
+		"truncated upload":         {func(t *retry.Try) { t.Kind = service.Upload }, false},
+		"truncated at-most-once":   {func(t *retry.Try) { t.Kind = service.Once }, false},
+		"write, connection failed": {func(t *retry.Try) { t.Kind, t.Code = service.Write, result.ConnectFailed }, true},
+		"shed at-most-once":        {func(t *retry.Try) { t.Kind, t.Code = service.Once, result.ShedByServer }, true},
+		"truncated, unknown kind":  {func(t *retry.Try) { t.Kind = "" }, false},
+		"served":                   {func(t *retry.Try) { t.Code = result.Served }, false},
+		"quarantined":              {func(t *retry.Try) { t.Code = result.Quarantined }, false},
+		"late":                     {func(t *retry.Try) { t.Code = result.AnswerLate }, false},
+		"unknown code":             {func(t *retry.Try) { t.Code = -1 }, false},
+		"last attempt":             {func(t *retry.Try) { t.Sends = 3 }, false},
+		"never sent":               {func(t *retry.Try) { t.Sends = 0 }, false},
+		"negative sends":           {func(t *retry.Try) { t.Sends = -1 }, false},
+		"negative attempts":        {func(t *retry.Try) { t.Attempts = -1 }, false},
+		"deadline passed":          {func(t *retry.Try) { t.Deadline = start }, false},
+		"no deadline":              {func(t *retry.Try) { t.Deadline = time.Time{} }, false},
+		"too little time":          {func(t *retry.Try) { t.Deadline = start.Add(90 * time.Millisecond) }, false},
+		"latency fits":             {latency(900*time.Millisecond, 0), true},
+		"latency doesn't fit":      {latency(time.Second, 0), false},
+		"latency stale":            {latency(time.Hour, 2*time.Minute), true},
+		"latency from the future":  {latency(time.Hour, -time.Minute), true},
+		"latency negative":         {latency(-time.Hour, 0), true},
+		"latency out of range":     {latency(math.MaxInt64, 0), true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -117,12 +117,12 @@
 				continue
 			}
 			retries[second]++
-			f, a := 0, 0
+			f, r := 0, 0
 			for s := second - 9; s <= second; s++ {
-				f, a = f+first[s], a+retries[s]
+				f, r = f+first[s], r+retries[s]
 			}
-			if bound := max(share*float64(f), retry.MinRetries); float64(a) > bound+1e-9 || (share == 0 && a > 0) {
-				t.Fatalf("%d retries for %d first sends in a window at share %v", a, f, share)
+			if bound := max(share*float64(f), retry.MinRetries); float64(r) > bound+1e-9 || (share == 0 && r > 0) {
+				t.Fatalf("%d retries for %d first sends in a window at share %v", r, f, share)
 			}
 		}
 	})
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	budget.First(now)
+//	budget.CountFirst(now)
 //	// after a failed send
 //	if retry.Allowed(try, now) && budget.Take(now, file.Retry.Budget) {
 //		// retry
