--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -24,7 +24,8 @@
 	// Limit is the maximum number of addresses returned.
 	Limit = 64
 	// minZoneShare is the minimum capacity of a zone, as a fraction of the mean over
-	// the zones of its region, for its callers to stay in the zone.
+	// the zones of its region that have a ready entry, for its callers to stay in the
+	// zone.
 	minZoneShare = 0.5
 )
 
@@ -46,16 +47,16 @@
 			inZone = append(inZone, n)
 		}
 	}
-	near, own := largest(inZone)
-	wide, total := largest(inRegion)
+	zoneEntries, zoneCapacity := largest(inZone)
+	regionEntries, regionCapacity := largest(inRegion)
 	switch {
-	case len(near) > 0 && own >= minZoneShare*total/float64(max(len(zones), 1)):
-		return addresses(near)
-	case len(wide) > 0:
-		return addresses(wide)
+	case len(zoneEntries) > 0 && zoneCapacity >= minZoneShare*regionCapacity/float64(max(len(zones), 1)):
+		return addresses(zoneEntries)
+	case len(regionEntries) > 0:
+		return addresses(regionEntries)
 	default:
-		most, _ := largest(all)
-		return addresses(most)
+		entries, _ := largest(all)
+		return addresses(entries)
 	}
 }
 
