--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -24,5 +24,5 @@
 //		defer l.Done(fp)
 //	}
 //	// after a send that crashed the server:
-//	notify(l.Sight(now, fp, origin))
+//	notify(l.RecordCrash(now, fp, origin))
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -17,7 +17,7 @@
 
 	// Traits are the properties of a request that its fingerprint is computed from.
 	Traits struct {
-		// Service is the service.
+		// Service is the request's service.
 		Service id.Service
 		// Method is the HTTP method.
 		Method string
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -15,11 +15,11 @@
 	// the caller retries it after each failure.
 	MaxCrashes = 2
 
-	defaultHold   = 30 * time.Second
-	defaultMemory = 30 * time.Minute
-	defaultListed = 10_000
-	maxReports    = 16
-	maxSkew       = time.Minute
+	defaultHold            = 30 * time.Second
+	defaultRetention       = 30 * time.Minute
+	defaultMaxFingerprints = 10_000
+	maxReports             = 16
+	maxSkew                = time.Minute
 )
 
 type (
@@ -82,23 +82,23 @@
 		Until time.Time `json:"until"`
 	}
 
-	// List holds the fingerprints of one entry. Its fields must not change
-	// after the first call. It is safe for concurrent use.
+	// List holds the fingerprints that one entry has reports on. Its fields
+	// must not change after the first call. It is safe for concurrent use.
 	List struct {
 		// Instance is the entry's name.
 		Instance id.Instance
 		// Hold is the time for which the other entries refuse a fingerprint after its
 		// first crash; 0 means 30 s.
 		Hold time.Duration
-		// Memory is the time for which a crash counts; 0 means 30 min.
-		Memory time.Duration
+		// Retention is the time for which a crash counts; 0 means 30 min.
+		Retention time.Duration
 		// Tolerated is the number of crashes that have no effect; the next one
 		// quarantines the fingerprint, without probation. If it is 0, a fingerprint
 		// is on probation from its first crash on.
 		Tolerated int
-		// Listed is the maximum number of fingerprints; 0 means 10,000. At the limit,
-		// the one with the oldest report is evicted.
-		Listed int
+		// MaxFingerprints is the maximum number of fingerprints; 0 means 10,000. At the
+		// limit, the one with the oldest report is evicted.
+		MaxFingerprints int
 
 		mu     sync.Mutex
 		states map[Fingerprint]*state
@@ -127,13 +127,13 @@
 	if s == nil {
 		return Verdict{}
 	}
-	if now.Sub(s.lastReport) >= l.memory() {
+	if now.Sub(s.lastReport) >= l.retention() {
 		l.drop(fp)
 		return Verdict{}
 	}
 	switch held := s.lastReport.Add(l.hold()).Sub(now); {
 	case l.quarantined(s):
-		return Verdict{Refused: true, RetryAfter: s.lastReport.Add(l.memory()).Sub(now)}
+		return Verdict{Refused: true, RetryAfter: s.lastReport.Add(l.retention()).Sub(now)}
 	case len(s.reports) == 0, l.Tolerated > 0:
 		return Verdict{}
 	case s.reports[0].Instance != l.Instance && held > 0:
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.states[fp]
-	return s != nil && l.quarantined(s) && now.Sub(s.lastReport) < l.memory()
+	return s != nil && l.quarantined(s) && now.Sub(s.lastReport) < l.retention()
 }
 
 // Done records the end of a send that Check allowed on probation.
@@ -165,8 +165,8 @@
 	}
 }
 
-// RecordCrash records that a send crashed a server and returns the report for the other
-// entries.
+// RecordCrash records that a send crashed a server and returns the report for the
+// other entries.
 func (l *List) RecordCrash(now time.Time, fp Fingerprint, o Origin) CrashReport {
 	report := CrashReport{Fingerprint: fp, Send: o.Send, Instance: l.Instance, Service: o.Service, Class: o.Class, Began: o.Began, At: now}
 	l.Apply(now, report)
@@ -199,7 +199,7 @@
 // Apply applies a report of this entry or another. Reports may arrive in any order
 // and any number of times.
 func (l *List) Apply(now time.Time, report CrashReport) {
-	if report.At.After(now.Add(maxSkew)) || now.Sub(report.At) >= l.memory() {
+	if report.At.After(now.Add(maxSkew)) || now.Sub(report.At) >= l.retention() {
 		return
 	}
 	l.mu.Lock()
@@ -256,17 +256,17 @@
 }
 
 func (s *state) has(send string) bool {
-	return slices.ContainsFunc(s.reports, func(n CrashReport) bool { return n.Send == send })
+	return slices.ContainsFunc(s.reports, func(r CrashReport) bool { return r.Send == send })
 }
 
-// Reports returns at most limit of the reports that make up the list, the latest first,
-// for an entry that may not have received them.
+// Reports returns at most limit of the reports that make up the list, the latest
+// first, for an entry that may not have received them.
 func (l *List) Reports(now time.Time, limit int) []CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []CrashReport
 	for fp, s := range l.states {
-		if now.Sub(s.lastReport) >= l.memory() {
+		if now.Sub(s.lastReport) >= l.retention() {
 			continue
 		}
 		all = append(all, s.reports...)
@@ -280,13 +280,14 @@
 	return all[:min(len(all), limit)]
 }
 
-// Entries returns the listed fingerprints in their order.
+// Entries returns the listed fingerprints that have crash reports, sorted by
+// fingerprint.
 func (l *List) Entries(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []Entry
 	for fp, s := range l.states {
-		until := s.lastReport.Add(l.memory())
+		until := s.lastReport.Add(l.retention())
 		if len(s.reports) == 0 || !until.After(now) {
 			continue
 		}
@@ -302,9 +303,9 @@
 	if l.states == nil {
 		l.states = map[Fingerprint]*state{}
 	}
-	limit := l.Listed
+	limit := l.MaxFingerprints
 	if limit == 0 {
-		limit = defaultListed
+		limit = defaultMaxFingerprints
 	}
 	if len(l.states) >= limit {
 		l.evict(now, limit)
@@ -320,12 +321,13 @@
 	l.size.Store(int64(len(l.states)))
 }
 
-// evict makes room for one fingerprint.
+// evict removes the expired fingerprints, or the one with the oldest report if none has
+// expired, so that there is room for another one.
 func (l *List) evict(now time.Time, limit int) {
 	var oldest Fingerprint
 	at := now.Add(maxSkew)
 	for fp, s := range l.states {
-		if now.Sub(s.lastReport) >= l.memory() {
+		if now.Sub(s.lastReport) >= l.retention() {
 			l.drop(fp)
 		} else if s.lastReport.Before(at) {
 			oldest, at = fp, s.lastReport
@@ -343,9 +345,9 @@
 	return l.Hold
 }
 
-func (l *List) memory() time.Duration {
-	if l.Memory == 0 {
-		return defaultMemory
+func (l *List) retention() time.Duration {
+	if l.Retention == 0 {
+		return defaultRetention
 	}
-	return l.Memory
+	return l.Retention
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -45,8 +45,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := &quarantine.List{Instance: "entry-1"}
-			for _, n := range tt.reports {
-				l.Apply(now, n)
+			for _, report := range tt.reports {
+				l.Apply(now, report)
 			}
 			if tt.running {
 				l.Check(now.Add(tt.after), fp)
@@ -90,7 +90,7 @@
 
 func TestListKeepsItsLimit(t *testing.T) {
 	is := is.New(t)
-	l := &quarantine.List{Instance: "entry-1", Listed: 100}
+	l := &quarantine.List{Instance: "entry-1", MaxFingerprints: 100}
 	for i := range 300 {
 		l.RecordCrash(start().Add(time.Duration(i)), quarantine.Fingerprint{byte(i), byte(i >> 8)}, quarantine.Origin{Service: "registry", Send: "a"})
 	}
