--- a/internal/crashreports/doc.go
+++ b/internal/crashreports/doc.go
@@ -1,7 +1,7 @@
 // Package crashreports exchanges crash reports between entries: reports of
 // requests that crash backend servers.
 //
-// An [Exchange] sends each report to all other entries at once; entries that
+// An [Exchange] sends each report to all other entries in parallel; entries that
 // confirm it relay it to those that don't. Every [Exchange.Period] it compares
 // its list with that of one other entry, so that an entry that was started or
 // unreachable in the meantime receives what it missed. The platform's store is
--- a/internal/crashreports/exchange_test.go
+++ b/internal/crashreports/exchange_test.go
@@ -24,20 +24,20 @@
 		cut      map[[2]id.Instance]bool
 	}
 
-	end struct {
+	endpoint struct {
 		n    *network
 		self id.Instance
 	}
 )
 
-func (e end) Register(method string, h peer.Handler) {
+func (e endpoint) Register(method string, h peer.Handler) {
 	if e.n.handlers[e.self] == nil {
 		e.n.handlers[e.self] = map[string]peer.Handler{}
 	}
 	e.n.handlers[e.self][method] = h
 }
 
-func (e end) Call(ctx context.Context, to id.Instance, method string, params, result any) error {
+func (e endpoint) Call(ctx context.Context, to id.Instance, method string, params, result any) error {
 	if e.n.cut[[2]id.Instance{e.self, to}] {
 		<-ctx.Done()
 		return ctx.Err()
@@ -64,7 +64,7 @@
 func connect(n *network, names ...id.Instance) map[id.Instance]*crashreports.Exchange {
 	all := map[id.Instance]*crashreports.Exchange{}
 	for i, name := range names {
-		x := &crashreports.Exchange{List: &quarantine.List{Instance: name}, Peers: end{n, name}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
+		x := &crashreports.Exchange{List: &quarantine.List{Instance: name}, Peers: endpoint{n, name}, Rand: rand.New(rand.NewPCG(uint64(i), 1))}
 		x.Others = func() []id.Instance {
 			var others []id.Instance
 			for _, o := range names {
@@ -74,7 +74,7 @@
 			}
 			return others
 		}
-		x.Register(end{n, name})
+		x.Register(endpoint{n, name})
 		all[name] = x
 	}
 	return all
