--- a/internal/follow/follower.go
+++ b/internal/follow/follower.go
@@ -14,8 +14,8 @@
 //
 //	f := &follow.Follower{Feed: feed, Kind: follow.Servers, Sink: sink, ShortPoll: isShortPoll, Log: log}
 //	go f.Run(ctx)
-//	f.Hint(version)                  // another entry has applied this change
-//	f.Adopt(version, func() { ... }) // applies the state of another entry
+//	f.Invalidate(version)                // another entry has applied this change
+//	f.Bootstrap(version, func() { ... }) // applies the state of another entry
 package follow
 
 import (
@@ -33,7 +33,8 @@
 	// further failure up to a limit. The store's rate limit allows each of
 	// hundreds of entries a few calls a second.
 	firstRetry = 50 * time.Millisecond
-	// shortPollMaxRetry is that limit for short-poll entries, idleRetry for others.
+	// shortPollMaxRetry is that limit for short-poll entries, longPollMaxRetry
+	// for others.
 	shortPollMaxRetry = 400 * time.Millisecond
 	longPollMaxRetry  = 1600 * time.Millisecond
 )
@@ -61,16 +62,16 @@
 		Change(now time.Time, o store.Object)
 		// Remove applies the removal of an object.
 		Remove(now time.Time, key string)
-		// Resumed is called before Replace when the store is available again
+		// StoreRecovered is called before Replace when the store is available again
 		// after an outage, with the time since its last answer.
-		Resumed(now time.Time, outage time.Duration)
+		StoreRecovered(now time.Time, outage time.Duration)
 	}
 
 	// Follower keeps a Sink up to date with the objects of a kind.
 	//
 	// A stalled watch is detected when its wait has expired. Only short-poll
 	// entries use a short wait; the others use a long one and are notified by
-	// Hint of changes that another entry has applied and they have not.
+	// Invalidate of changes that another entry has applied and they have not.
 	Follower struct {
 		// Feed is the store's feed of the objects.
 		Feed store.Feed
@@ -89,8 +90,8 @@
 		// Batch is the delay between an answer with changes and the next watch
 		// call, so that further changes arrive together.
 		Batch time.Duration
-		// StallTimeout is how long after a Hint the watch may take to deliver the
-		// change before the objects are listed again.
+		// StallTimeout is how long after a call of Invalidate the watch may take to
+		// deliver the change before the objects are listed again.
 		StallTimeout time.Duration
 		// Sink receives the objects and their changes.
 		Sink Sink
@@ -139,8 +140,8 @@
 	return f.latest
 }
 
-// Invalidate records that another entry has applied a change. If the watch doesn't deliver
-// it within StallTimeout, the objects are listed again.
+// Invalidate records that another entry has applied a change. If the watch doesn't
+// deliver it within StallTimeout, the objects are listed again.
 func (f *Follower) Invalidate(rev store.Version) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,17 +157,19 @@
 	time.AfterFunc(f.StallTimeout, func() { f.checkStalled(rev) })
 }
 
-// NeedsPeerState reports whether the store is unavailable and this entry lacks state that a
-// peer may have: it has none at all, or another entry has applied a later change.
+// NeedsPeerState reports whether the store is unavailable and this entry lacks state
+// that a peer may have: it has none at all, or another entry has applied a later
+// change.
 func (f *Follower) NeedsPeerState() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unavailable && (f.latest == 0 || f.invalidation > f.latest)
 }
 
-// Bootstrap calls take to apply the state of another entry as of a version. It returns
-// false, without calling take, if this entry's own state is at least as recent.
-func (f *Follower) Bootstrap(version store.Version, take func()) bool {
+// Bootstrap calls apply, which must apply the state of another entry as of a version.
+// It returns false, without calling apply, if this entry's own state is at least as
+// recent.
+func (f *Follower) Bootstrap(version store.Version, apply func()) bool {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -177,7 +180,7 @@
 		return false
 	}
 	f.Log.Info("taken over from another entry", "kind", f.Kind, "version", version, "before", known)
-	take()
+	apply()
 	return true
 }
 
@@ -198,8 +201,9 @@
 	return now.Sub(f.answeredAt)
 }
 
-// AvailableFor returns for how long the store has been available without interruption;
-// 0 if it is unavailable or its last answer is older than ShortWait + Timeout.
+// AvailableFor returns for how long the store has been available without
+// interruption; 0 if it is unavailable or its last answer is older than ShortWait +
+// Timeout.
 func (f *Follower) AvailableFor(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,7 +253,7 @@
 	}
 }
 
-// poll makes one watch call, which Hint may cancel.
+// poll makes one watch call, which checkStalled may cancel.
 func (f *Follower) poll(ctx context.Context, rev store.Version, wait time.Duration) ([]store.Change, store.Version, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -326,7 +330,7 @@
 	f.mu.Unlock()
 	if wasUnavailable {
 		f.Log.Info("store regained", "kind", f.Kind, "away", outage)
-		f.Sink.Resumed(now, outage)
+		f.Sink.StoreRecovered(now, outage)
 	}
 }
 
--- a/internal/follow/follower_test.go
+++ b/internal/follow/follower_test.go
@@ -76,7 +76,7 @@
 
 func (*sink) Remove(time.Time, string) {}
 
-func (*sink) Resumed(time.Time, time.Duration) {}
+func (*sink) StoreRecovered(time.Time, time.Duration) {}
 
 func (s *sink) set(keys ...string) {
 	s.mu.Lock()
@@ -92,26 +92,26 @@
 
 // While the store is unavailable, an entry must apply a peer's state if, and only if,
 // it is more recent than its own. Once the store is back, its list takes precedence.
-func TestAdoptAppliesOnlyNewerState(t *testing.T) {
+func TestBootstrapAppliesOnlyNewerState(t *testing.T) {
 	tests := map[string]struct {
 		// before is the version of the store's initial state; 0 is a store that
 		// is unavailable from the start.
 		before store.Version
-		// hint is the newest change that another entry has applied.
-		hint store.Version
-		// missing is the expected result of Missing.
-		missing bool
-		// adopt is the version of the state that the other entry sends.
-		adopt store.Version
-		// adopted is whether that state is expected to be applied.
-		adopted bool
+		// invalidation is the newest change that another entry has applied.
+		invalidation store.Version
+		// needsPeerState is the expected result of NeedsPeerState.
+		needsPeerState bool
+		// received is the version of the state that the other entry sends.
+		received store.Version
+		// applied is whether that state is expected to be applied.
+		applied bool
 	}{
-		"no state yet":                     {0, 5, true, 5, true},
-		"no peer has state":                {0, 0, true, 0, false},
-		"peer has a later change":          {4, 5, true, 5, true},
-		"peer has the same change":         {5, 5, false, 5, false},
-		"peer has advanced since the hint": {4, 5, true, 6, true},
-		"peer sends an older state":        {4, 5, true, 3, false},
+		"no state yet":                             {0, 5, true, 5, true},
+		"no peer has state":                        {0, 0, true, 0, false},
+		"peer has a later change":                  {4, 5, true, 5, true},
+		"peer has the same change":                 {5, 5, false, 5, false},
+		"peer has advanced since the invalidation": {4, 5, true, 6, true},
+		"peer sends an older state":                {4, 5, true, 3, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -128,17 +128,17 @@
 				time.Sleep(10 * time.Second)
 				fd.set(true, 0)
 				time.Sleep(10 * time.Second)
-				f.Invalidate(tt.hint)
+				f.Invalidate(tt.invalidation)
 				time.Sleep(10 * time.Second)
-				is.Equal(f.NeedsPeerState(), tt.missing)
-				is.Equal(f.Bootstrap(tt.adopt, func() { s.set("adopted") }), tt.adopted)
-				is.Equal(len(s.has()) > 0 && s.has()[0] == "adopted", tt.adopted)
+				is.Equal(f.NeedsPeerState(), tt.needsPeerState)
+				is.Equal(f.Bootstrap(tt.received, func() { s.set("bootstrapped") }), tt.applied)
+				is.Equal(len(s.has()) > 0 && s.has()[0] == "bootstrapped", tt.applied)
 				// The store takes precedence over another entry.
 				fd.set(false, 9, "listed again")
 				time.Sleep(10 * time.Second)
 				is.Equal(s.has(), []string{"listed again"})
 				is.True(!f.NeedsPeerState())
-				is.True(!f.Bootstrap(8, func() { s.set("adopted late") }))
+				is.True(!f.Bootstrap(8, func() { s.set("bootstrapped late") }))
 				is.Equal(s.has(), []string{"listed again"})
 				cancel()
 				synctest.Wait()
--- a/internal/follow/group.go
+++ b/internal/follow/group.go
@@ -29,7 +29,8 @@
 	return out
 }
 
-// Invalidate records the versions of the newest changes that another entry has applied.
+// Invalidate records the versions of the newest changes that another entry has
+// applied.
 func (g Group) Invalidate(changes map[Kind]store.Version) {
 	for kind, version := range changes {
 		if f := g[kind]; f != nil {
@@ -38,8 +39,8 @@
 	}
 }
 
-// NeedsPeerState returns the kinds for which this entry lacks state that a peer may have
-// while the store is unavailable, with the version of the newest applied change.
+// NeedsPeerState returns the kinds for which the store is unavailable and this entry
+// lacks state that a peer may have, with the version of the newest applied change.
 func (g Group) NeedsPeerState() map[Kind]store.Version {
 	var out map[Kind]store.Version
 	for kind, f := range g {
@@ -62,8 +63,8 @@
 	return 0
 }
 
-// AvailableFor returns for how long the store has been available without interruption for
-// a kind, 0 if the kind isn't followed.
+// AvailableFor returns for how long the store has been available without interruption
+// for a kind, 0 if the kind isn't followed.
 func (g Group) AvailableFor(kind Kind, now time.Time) time.Duration {
 	if f := g[kind]; f != nil {
 		return f.AvailableFor(now)
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -36,7 +36,7 @@
 
 func (noSink) Remove(time.Time, string) {}
 
-func (noSink) Resumed(time.Time, time.Duration) {}
+func (noSink) StoreRecovered(time.Time, time.Duration) {}
 
 // unavailableGroup follows all kinds at a store that is unavailable.
 func unavailableGroup() follow.Group {
