--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one entry instance: it holds the entry's state, listens for
-// callers and for other entries, and shuts down gracefully.
+// Package node implements one entry instance: it holds the entry's state, listens
+// for callers and for other entries, and shuts down gracefully.
 //
 // Backend servers, configuration and evacuated zones are supplied from outside, by
 // the code that watches the platform's store, or by a snapshot from another entry.
@@ -12,7 +12,7 @@
 //	n.SetBounds(bounds)
 //	n.Configure(config)
 //	n.Roster.Replace(now, servers)
-//	n.Listed()
+//	n.MarkServersListed()
 //	err := n.Run(ctx) // until ctx ends and the graceful shutdown is over
 package node
 
@@ -111,8 +111,8 @@
 	Options struct {
 		// Self describes this entry to the other entries.
 		Self heartbeat.Node
-		// MissingServerGrace is how long a server that is missing from the store is kept after the
-		// store is available again.
+		// MissingServerGrace is how long a server that is missing from the store is
+		// kept after the store is available again.
 		MissingServerGrace time.Duration
 		// HeartbeatInterval is the interval between heartbeats to one entry.
 		HeartbeatInterval time.Duration
@@ -150,7 +150,7 @@
 		bounds        atomic.Pointer[Bounds]
 		config        atomic.Pointer[Config]
 		serversListed atomic.Bool
-		// entriesListed is set once Beacon has been given a complete list of entries.
+		// entriesListed is set once Heartbeats has a complete list of the entries.
 		entriesListed atomic.Bool
 		started       time.Time
 		leaving       atomic.Bool
@@ -213,11 +213,11 @@
 // Store returns the followers of the store's objects.
 func (n *Node) Store() follow.Group { return n.options.Store }
 
-// EntriesListed marks that Beacon has been given a complete list of entries.
-func (n *Node) EntriesListed() { n.entriesListed.Store(true) }
+// MarkEntriesListed records that Heartbeats has a complete list of the entries.
+func (n *Node) MarkEntriesListed() { n.entriesListed.Store(true) }
 
-// ServersListed marks that the roster holds a complete list of servers.
-func (n *Node) ServersListed() { n.serversListed.Store(true) }
+// MarkServersListed records that Roster holds a complete list of the servers.
+func (n *Node) MarkServersListed() { n.serversListed.Store(true) }
 
 // Ready reports whether the entry serves callers and is not shutting down.
 func (n *Node) Ready() bool {
@@ -244,8 +244,8 @@
 	}
 }
 
-// LongestPeerStoreUptime returns the longest time for which the store has been continuously
-// available to any other entry.
+// LongestPeerStoreUptime returns the longest time for which the store has been
+// available without interruption to any other entry.
 func (n *Node) LongestPeerStoreUptime(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, other := range n.Heartbeats.Alive(now) {
@@ -355,7 +355,7 @@
 }
 
 // stop shuts down gracefully: it announces the shutdown, serves new requests for a
-// while, then stops listening and waits for the running requests and Options.Closing.
+// while, then stops listening and waits for the running requests and for OnShutdown.
 func (n *Node) stop(server *http.Server) error {
 	o := &n.options
 	o.Log.Info("leaving", "running", n.handler.Running())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -73,7 +73,7 @@
 	n.Configure(configOf(1, "/x/"))
 	is.True(!n.Ready()) // there is no list of servers yet
 	is.Equal(len(n.Entries("a-1", "a")), 0)
-	n.ServersListed()
+	n.MarkServersListed()
 	is.True(n.Ready())
 	is.Equal(len(n.Entries("a-1", "a")), 1)
 }
@@ -113,7 +113,7 @@
 	n := newNode(t)
 	n.Configure(configOf(1, "/x/"))
 	n.Roster.Put(time.Now(), roster.Server{Name: "i-1", Service: svc, Address: slowServer(t, time.Second), Slots: 6})
-	n.ServersListed()
+	n.MarkServersListed()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
@@ -148,7 +148,7 @@
 	is.True(err != nil)
 }
 
-// Options.Closing may block, such as in a call to a store that is unavailable. It
+// Options.OnShutdown may block, such as in a call to a store that is unavailable. It
 // must not delay the shutdown beyond the grace period.
 func TestShutdownEndsWithinTheGracePeriod(t *testing.T) {
 	is := is.New(t)
@@ -173,7 +173,7 @@
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	n := newNode(t)
-	n.ServersListed()
+	n.MarkServersListed()
 	n.Configure(configOf(5, "/new/"))
 	n.Configure(configOf(4, "/old/"))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -201,17 +201,17 @@
 	n.Roster.Put(now, roster.Server{Name: "i-2", Service: svc, Address: "127.0.0.1:2", Zone: "b-1", Slots: 6})
 	n.Roster.Put(now, roster.Server{Name: "i-3", Service: svc, Address: "127.0.0.1:3", Zone: "a-1", Slots: 6, Leaving: true})
 	n.Roster.SetEvacuated(now, map[id.Zone]bool{"b-1": true})
-	n.ServersListed()
+	n.MarkServersListed()
 	mux := http.NewServeMux()
 	n.ServeOperators(mux)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	b, err := entryview.Fetch(t.Context(), server.Client(), address)
+	v, err := entryview.Fetch(t.Context(), server.Client(), address)
 	is.NoErr(err)
-	is.Equal(b.Version, id.Version(3))
+	is.Equal(v.Version, id.Version(3))
 	states := map[id.Server]entryview.State{}
-	for _, s := range b.Servers {
+	for _, s := range v.Servers {
 		states[s.Name] = s.State
 	}
 	is.Equal(states, map[id.Server]entryview.State{"i-1": entryview.Usable, "i-2": entryview.Evacuated, "i-3": entryview.Leaving})
@@ -238,7 +238,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
 	ready := func() bool { return n.Roster.View().Members(svc)[0].Ready(time.Now()) }
-	n.EntriesListed()
+	n.MarkEntriesListed()
 	time.Sleep(500 * time.Millisecond)
 	is.True(!ready())
 	time.Sleep(time.Second)
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -57,14 +57,14 @@
 // bootstrap fetches from another entry the data that the store does not deliver, as
 // after a start while the store is unavailable. It runs until ctx ends.
 func (n *Node) bootstrap(ctx context.Context) {
-	pause := bootstrapInterval
+	delay := bootstrapInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = bootstrapInterval
+		delay = bootstrapInterval
 		missing := n.options.Store.NeedsPeerState()
 		if len(missing) == 0 {
 			continue
@@ -75,7 +75,7 @@
 		}
 		if err := n.fetchSnapshot(ctx, from, missing); err != nil {
 			n.options.Log.Warn("snapshot from another entry failed", "instance", from.Instance, "err", err)
-			pause = bootstrapRetryDelay
+			delay = bootstrapRetryDelay
 		}
 	}
 }
@@ -141,7 +141,7 @@
 			n.Heartbeats.AddPeer("", addr)
 		}
 	}
-	n.EntriesListed()
+	n.MarkEntriesListed()
 	if p := s.Configuration; p != nil && p.Value != nil && followers[follow.Configuration] != nil {
 		followers[follow.Configuration].Bootstrap(p.Version, func() { n.Configure(p.Value) })
 	}
@@ -151,7 +151,7 @@
 	if p := s.Servers; p != nil && followers[follow.Servers] != nil {
 		followers[follow.Servers].Bootstrap(p.Version, func() {
 			n.Roster.Replace(now, p.Value)
-			n.ServersListed()
+			n.MarkServersListed()
 		})
 	}
 	n.options.Log.Info("snapshot taken in", "instance", from, "ready", n.Ready())
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -73,7 +73,7 @@
 	}
 	group[follow.Servers].Bootstrap(6, func() {
 		first.Roster.Replace(now, servers)
-		first.ServersListed()
+		first.MarkServersListed()
 	})
 	first.Heartbeats.AddPeer(second.Self().Zone, second.Self().Peers)
 	for _, n := range []*node.Node{first, second} {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -17,25 +17,25 @@
 // State returns a snapshot of the entry's local state for operators.
 func (n *Node) State(now time.Time) *entryview.View {
 	self := n.Self()
-	b := &entryview.View{
+	v := &entryview.View{
 		Instance: self.Instance, Incarnation: self.Incarnation, Zone: self.Zone, Ready: self.Ready,
 		Running: n.handler.Running(), Known: len(n.Heartbeats.KnownPeers()), EvacuatedZones: n.Roster.Evacuated(),
 		Quarantined: len(n.Quarantine.Entries(now)),
 	}
 	if c := n.config.Load(); c != nil {
-		b.Version = c.Version
+		v.Version = c.Version
 	}
 	for kind, version := range self.Changes {
-		b.Store = append(b.Store, entryview.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
+		v.Store = append(v.Store, entryview.StoreState{Name: string(kind), Change: uint64(version), Age: n.options.Store.Age(kind, now)})
 	}
-	slices.SortFunc(b.Store, func(x, y entryview.StoreState) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(v.Store, func(x, y entryview.StoreState) int { return strings.Compare(x.Name, y.Name) })
 	for _, other := range n.Heartbeats.Alive(now) {
-		b.Entries = append(b.Entries, other.Instance)
+		v.Entries = append(v.Entries, other.Instance)
 	}
 	for _, m := range n.Roster.All() {
-		b.Servers = append(b.Servers, n.serverState(now, m, b.EvacuatedZones))
+		v.Servers = append(v.Servers, n.serverState(now, m, v.EvacuatedZones))
 	}
-	return b
+	return v
 }
 
 func (n *Node) serverState(now time.Time, m *roster.Member, evacuated []id.Zone) entryview.Server {
@@ -60,7 +60,8 @@
 }
 
 // Explain returns the server that a request would be sent to now, and why. For a
-// route with several services it returns the service picked by a random draw of 0.
+// route that splits its traffic, it uses the service selected by the smallest random
+// draw, 0.
 func (n *Node) Explain(now time.Time, host, path, object string) *entryview.Explanation {
 	e := &entryview.Explanation{}
 	c := n.config.Load()
