--- a/internal/heartbeat/detector.go
+++ b/internal/heartbeat/detector.go
@@ -9,8 +9,8 @@
 // directly.
 //
 // A heartbeat carries a digest of its sender's view of each zone. If the digests
-// differ, a leader replies with the list of the entries it knows: those of its own
-// zone to any sender, those of all zones to a sender in its zone. There is no
+// differ, the receiver replies with the live entries it knows: those of its own zone
+// to any sender, those of all zones to a sender in its zone. There is no
 // consensus: each entry selects the leaders from its own view. An entry counts as
 // alive for a limited time after its latest heartbeat, received directly or relayed
 // by a leader. An entry in graceful shutdown reports itself as not ready. Reports
@@ -19,10 +19,10 @@
 //
 // # Usage
 //
-//	b := &heartbeat.Beacon{Self: self, Interval: 500 * time.Millisecond, Timeout: 2 * time.Second, Log: log}
-//	b.Meet("a-1", "10.1.0.4:7720")
-//	go b.Run(ctx, packetConn)
-//	for _, n := range b.Alive(time.Now()) {
+//	d := &heartbeat.Detector{Self: self, Interval: 500 * time.Millisecond, Timeout: 2 * time.Second, Log: log}
+//	d.AddPeer("a-1", netip.MustParseAddrPort("10.1.0.4:7720"))
+//	go d.Run(ctx, packetConn)
+//	for _, n := range d.Alive(time.Now()) {
 //		use(n.Callers)
 //	}
 package heartbeat
@@ -87,8 +87,9 @@
 		// has applied, by kind of object. This field and the following ones are
 		// not relayed.
 		Changes map[follow.Kind]store.Version
-		// StoreAvailableFor is for how long the store has been available to the entry without
-		// interruption; 0 if it is unavailable or the entry has no recent answer.
+		// StoreAvailableFor is for how long the store has been available to the
+		// entry without interruption; 0 if it is unavailable or the entry has no
+		// recent answer.
 		StoreAvailableFor time.Duration
 		// Crashes holds the latest reports of requests that crash servers.
 		Crashes []quarantine.CrashReport
@@ -114,9 +115,9 @@
 		// Timeout is how long an entry counts as alive after a heartbeat that was
 		// received directly.
 		Timeout time.Duration
-		// Heard, if not nil, is called with the content of each accepted
+		// OnUpdate, if not nil, is called with the content of each accepted
 		// heartbeat.
-		OnUpdate func(now time.Time, news Update)
+		OnUpdate func(now time.Time, update Update)
 		// Log receives a line for each entry that becomes alive, changes or falls
 		// silent.
 		Log *slog.Logger
@@ -140,33 +141,33 @@
 )
 
 // AddPeer adds an entry's address, and its availability zone unless that is empty.
-func (b *Detector) AddPeer(zone id.Zone, addr netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if p := b.peer(addr); p.zone == "" && zone != "" {
-		p.zone, b.view = zone, nil
+func (d *Detector) AddPeer(zone id.Zone, addr netip.AddrPort) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if p := d.peer(addr); p.zone == "" && zone != "" {
+		p.zone, d.view = zone, nil
 	}
 }
 
 // PrunePeers removes the addresses for which keep returns false and that are silent.
-func (b *Detector) PrunePeers(now time.Time, keep func(netip.AddrPort) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for addr, p := range b.peers {
-		if !keep(addr) && !b.isAlive(p, now) {
-			delete(b.peers, addr)
-			b.view = nil
-			b.Log.Info("entry removed from the peer list", "instance", p.node.Instance, "peers", addr, "silent", since(now, p.lastSeen))
+func (d *Detector) PrunePeers(now time.Time, keep func(netip.AddrPort) bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for addr, p := range d.peers {
+		if !keep(addr) && !d.isAlive(p, now) {
+			delete(d.peers, addr)
+			d.view = nil
+			d.Log.Info("entry removed from the peer list", "instance", p.node.Instance, "peers", addr, "silent", since(now, p.lastSeen))
 		}
 	}
 }
 
 // SilentFor returns the time since an entry's latest heartbeat, and false if there
 // was none.
-func (b *Detector) SilentFor(now time.Time, addr netip.AddrPort) (time.Duration, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[addr]
+func (d *Detector) SilentFor(now time.Time, addr netip.AddrPort) (time.Duration, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	p := d.peers[addr]
 	if p == nil || p.lastSeen.IsZero() {
 		return 0, false
 	}
@@ -174,11 +175,11 @@
 }
 
 // KnownPeers returns the addresses of all other known entries, alive or not, in order.
-func (b *Detector) KnownPeers() []netip.AddrPort {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]netip.AddrPort, 0, len(b.peers))
-	for addr := range b.peers {
+func (d *Detector) KnownPeers() []netip.AddrPort {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := make([]netip.AddrPort, 0, len(d.peers))
+	for addr := range d.peers {
 		out = append(out, addr)
 	}
 	slices.SortFunc(out, netip.AddrPort.Compare)
@@ -186,16 +187,16 @@
 }
 
 // Alive returns the other entries that are alive, sorted by name.
-func (b *Detector) Alive(now time.Time) []Node {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (d *Detector) Alive(now time.Time) []Node {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var out []Node
-	for _, p := range b.peers {
-		if !b.isAlive(p, now) {
+	for _, p := range d.peers {
+		if !d.isAlive(p, now) {
 			continue
 		}
 		n := p.node
-		if now.Sub(p.lastDirect) > b.Timeout {
+		if now.Sub(p.lastDirect) > d.Timeout {
 			n.StoreAvailableFor = 0 // outdated, as it isn't relayed
 		}
 		out = append(out, n)
@@ -205,12 +206,12 @@
 }
 
 // Run sends and receives until ctx ends.
-func (b *Detector) Run(ctx context.Context, conn net.PacketConn) error {
-	b.mu.Lock()
-	b.urgent = make(chan struct{}, 1)
-	b.mu.Unlock()
+func (d *Detector) Run(ctx context.Context, conn net.PacketConn) error {
+	d.mu.Lock()
+	d.urgent = make(chan struct{}, 1)
+	d.mu.Unlock()
 	defer context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) })()
-	go b.send(ctx, conn)
+	go d.send(ctx, conn)
 	buf := make([]byte, maxDatagram)
 	for {
 		n, _, err := conn.ReadFrom(buf)
@@ -220,33 +221,33 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			b.Log.Warn("heartbeat not read", "err", err)
+			d.Log.Warn("heartbeat not read", "err", err)
 			continue
 		}
 		m, err := decode(buf[:n])
 		if err != nil {
-			b.Log.Warn("heartbeat dropped", "bytes", n, "err", err)
+			d.Log.Warn("heartbeat dropped", "bytes", n, "err", err)
 			continue
 		}
 		now := time.Now()
-		if b.receive(now, m) && len(m.Entries) == 0 {
-			b.answer(now, conn, m)
+		if d.receive(now, m) && len(m.Entries) == 0 {
+			d.answer(now, conn, m)
 		}
 	}
 }
 
 // Announce sends a heartbeat to all of this entry's targets immediately.
-func (b *Detector) Announce(conn net.PacketConn) {
+func (d *Detector) Announce(conn net.PacketConn) {
 	now := time.Now()
-	b.write(conn, b.compose(now), b.targets(now))
+	d.write(conn, d.compose(now), d.targets(now))
 }
 
-func (b *Detector) send(ctx context.Context, conn net.PacketConn) {
-	tick := time.NewTicker(b.Interval)
+func (d *Detector) send(ctx context.Context, conn net.PacketConn) {
+	tick := time.NewTicker(d.Interval)
 	defer tick.Stop()
 	for {
-		b.Announce(conn)
-		b.logSilent(time.Now())
+		d.Announce(conn)
+		d.logSilent(time.Now())
 	wait:
 		for {
 			select {
@@ -254,9 +255,9 @@
 				return
 			case <-tick.C:
 				break wait
-			case <-b.urgent:
+			case <-d.urgent:
 				now := time.Now()
-				b.write(conn, b.compose(now), b.relayTargets(now))
+				d.write(conn, d.compose(now), d.relayTargets(now))
 				select {
 				case <-time.After(minRelayInterval):
 				case <-ctx.Done():
@@ -268,25 +269,25 @@
 }
 
 // compose builds a heartbeat.
-func (b *Detector) compose(now time.Time) *message {
-	self := b.Self()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.count++
-	self.Count = b.count
-	b.mergeInvalidations(self.Changes)
-	m := &message{Format: format, From: self, Invalidations: make(map[follow.Kind]store.Version, len(b.invalidations))}
-	for kind, version := range b.invalidations {
+func (d *Detector) compose(now time.Time) *message {
+	self := d.Self()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.count++
+	self.Count = d.count
+	d.mergeInvalidations(self.Changes)
+	m := &message{Format: format, From: self, Invalidations: make(map[follow.Kind]store.Version, len(d.invalidations))}
+	for kind, version := range d.invalidations {
 		m.Invalidations[kind] = version
 	}
-	m.Zones = b.zoneStates(now, &self)
+	m.Zones = d.zoneStates(now, &self)
 	return m
 }
 
-func (b *Detector) write(conn net.PacketConn, m *message, to []netip.AddrPort) {
+func (d *Detector) write(conn net.PacketConn, m *message, to []netip.AddrPort) {
 	data, err := encode(m)
 	if err != nil {
-		b.Log.Error("heartbeat not encoded", "err", err)
+		d.Log.Error("heartbeat not encoded", "err", err)
 		return
 	}
 	for _, addr := range to {
@@ -296,64 +297,64 @@
 }
 
 // receive applies a received heartbeat. It returns false if the heartbeat is dropped.
-func (b *Detector) receive(now time.Time, m *message) bool {
-	self := b.Self()
+func (d *Detector) receive(now time.Time, m *message) bool {
+	self := d.Self()
 	if !m.From.valid() || m.From.Peers == self.Peers {
 		return false
 	}
-	b.mu.Lock()
-	p := b.peer(m.From.Peers)
+	d.mu.Lock()
+	p := d.peer(m.From.Peers)
 	if m.From.Incarnation < p.node.Incarnation {
-		b.mu.Unlock()
+		d.mu.Unlock()
 		return false
 	}
-	changed := b.apply(now, p, &m.From, now)
+	changed := d.apply(now, p, &m.From, now)
 	p.lastDirect = now
-	raised := b.mergeInvalidations(m.Invalidations)
+	raised := d.mergeInvalidations(m.Invalidations)
 	for i := range m.Entries {
-		b.applyRelayed(now, &self, &m.Entries[i])
+		d.applyRelayed(now, &self, &m.Entries[i])
 	}
-	b.confirm(now, &self, m)
-	if (changed || raised) && b.isLeader(now, &self) {
+	d.confirm(now, &self, m)
+	if (changed || raised) && d.isLeader(now, &self) {
 		select {
-		case b.urgent <- struct{}{}:
+		case d.urgent <- struct{}{}:
 		default: // already requested, or Run has not started
 		}
 	}
-	b.mu.Unlock()
-	if b.OnUpdate != nil {
-		b.OnUpdate(now, Update{Changes: m.Invalidations, Crashes: m.From.Crashes})
+	d.mu.Unlock()
+	if d.OnUpdate != nil {
+		d.OnUpdate(now, Update{Changes: m.Invalidations, Crashes: m.From.Crashes})
 	}
 	return true
 }
 
 // applyRelayed applies the relayed state of an entry.
-func (b *Detector) applyRelayed(now time.Time, self *Node, r *relayedNode) {
-	if !r.Node.valid() || r.Node.Peers == self.Peers || r.Age < 0 || r.Age > b.Timeout+relayAllowance {
+func (d *Detector) applyRelayed(now time.Time, self *Node, r *relayedNode) {
+	if !r.Node.valid() || r.Node.Peers == self.Peers || r.Age < 0 || r.Age > d.Timeout+relayAllowance {
 		return
 	}
-	p := b.peer(r.Node.Peers)
+	p := d.peer(r.Node.Peers)
 	if r.Node.Incarnation < p.node.Incarnation {
 		return
 	}
-	b.apply(now, p, &r.Node, now.Add(-r.Age))
+	d.apply(now, p, &r.Node, now.Add(-r.Age))
 }
 
 // apply applies an entry's state as of the time at. It reports whether this changes
 // which entries may be used.
-func (b *Detector) apply(now time.Time, p *peer, n *Node, at time.Time) bool {
+func (d *Detector) apply(now time.Time, p *peer, n *Node, at time.Time) bool {
 	newer := n.Incarnation > p.node.Incarnation || n.Count >= p.node.Count
-	changed := newer && (n.Incarnation != p.node.Incarnation || n.Ready != p.node.Ready) || !b.isAlive(p, now)
+	changed := newer && (n.Incarnation != p.node.Incarnation || n.Ready != p.node.Ready) || !d.isAlive(p, now)
 	if changed {
-		b.view = nil
+		d.view = nil
 	}
 	if changed && newer {
-		b.Log.Info("entry heard", "instance", n.Instance, "incarnation", n.Incarnation, "ready", n.Ready, "silent", since(now, p.lastSeen))
+		d.Log.Info("entry heard", "instance", n.Instance, "incarnation", n.Incarnation, "ready", n.Ready, "silent", since(now, p.lastSeen))
 	}
 	if newer {
 		kept := p.node
 		if p.zone != n.Zone {
-			b.view = nil
+			d.view = nil
 		}
 		p.node, p.zone = *n, n.Zone
 		if n.Changes == nil && kept.Incarnation == n.Incarnation {
@@ -364,17 +365,17 @@
 	if at.After(p.lastSeen) {
 		p.lastSeen = at
 	}
-	p.alive = b.isAlive(p, now)
+	p.alive = d.isAlive(p, now)
 	return changed
 }
 
 // confirm refreshes the entries of the zones whose digest equals this entry's own.
 // Ages refer to the heartbeats of the entries themselves, so reports that circulate
 // among leaders don't keep a stopped entry alive.
-func (b *Detector) confirm(now time.Time, self *Node, m *message) {
+func (d *Detector) confirm(now time.Time, self *Node, m *message) {
 	for _, z := range m.Zones {
-		ours := b.zone(now, self, z.Zone)
-		if z.Age < 0 || z.Age > b.Timeout+relayAllowance || z.Digest != ours.digest {
+		ours := d.zone(now, self, z.Zone)
+		if z.Age < 0 || z.Age > d.Timeout+relayAllowance || z.Digest != ours.digest {
 			continue
 		}
 		for _, p := range ours.others {
@@ -385,47 +386,48 @@
 	}
 }
 
-// mergeInvalidations merges the versions of store changes, and reports whether any is newer.
-func (b *Detector) mergeInvalidations(changes map[follow.Kind]store.Version) bool {
+// mergeInvalidations merges the versions of store changes, and reports whether any is
+// newer than the known one.
+func (d *Detector) mergeInvalidations(changes map[follow.Kind]store.Version) bool {
 	raised := false
 	for kind, version := range changes {
-		if version > b.invalidations[kind] {
-			if b.invalidations == nil {
-				b.invalidations = make(map[follow.Kind]store.Version)
+		if version > d.invalidations[kind] {
+			if d.invalidations == nil {
+				d.invalidations = make(map[follow.Kind]store.Version)
 			}
-			b.invalidations[kind], raised = version, true
+			d.invalidations[kind], raised = version, true
 		}
 	}
 	return raised
 }
 
 // logSilent logs the entries that have become silent.
-func (b *Detector) logSilent(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for addr, p := range b.peers {
-		if p.alive && !b.isAlive(p, now) {
+func (d *Detector) logSilent(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for addr, p := range d.peers {
+		if p.alive && !d.isAlive(p, now) {
 			p.alive = false
-			b.Log.Warn("entry silent", "instance", p.node.Instance, "peers", addr, "silent", now.Sub(p.lastSeen))
+			d.Log.Warn("entry silent", "instance", p.node.Instance, "peers", addr, "silent", now.Sub(p.lastSeen))
 		}
 	}
 }
 
-func (b *Detector) peer(addr netip.AddrPort) *peer {
-	if b.peers == nil {
-		b.peers = make(map[netip.AddrPort]*peer)
+func (d *Detector) peer(addr netip.AddrPort) *peer {
+	if d.peers == nil {
+		d.peers = make(map[netip.AddrPort]*peer)
 	}
-	p := b.peers[addr]
+	p := d.peers[addr]
 	if p == nil {
 		p = &peer{}
-		b.peers[addr], b.view = p, nil
+		d.peers[addr], d.view = p, nil
 	}
 	return p
 }
 
-func (b *Detector) isAlive(p *peer, now time.Time) bool {
-	limit := b.Timeout
-	if p.lastSeen.Sub(p.lastDirect) > b.Interval {
+func (d *Detector) isAlive(p *peer, now time.Time) bool {
+	limit := d.Timeout
+	if p.lastSeen.Sub(p.lastDirect) > d.Interval {
 		// A smaller difference is just the delay of a relayed report.
 		limit += relayAllowance
 	}
--- a/internal/heartbeat/detector_test.go
+++ b/internal/heartbeat/detector_test.go
@@ -39,9 +39,9 @@
 	leaving := node(2, 2)
 	leaving.Ready = false
 	tests := map[string]struct {
-		take []heartbeat.Node
-		age  time.Duration
-		want []heartbeat.Node
+		received []heartbeat.Node
+		age      time.Duration
+		want     []heartbeat.Node
 	}{
 		"heartbeat received":                     {[]heartbeat.Node{node(2, 1)}, timeout, []heartbeat.Node{node(2, 1)}},
 		"silent":                                 {[]heartbeat.Node{node(2, 1)}, timeout + 1, nil},
@@ -56,11 +56,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newDetector()
-			for _, n := range tt.take {
-				b.Receive(start, n)
+			d := newDetector()
+			for _, n := range tt.received {
+				d.Receive(start, n)
 			}
-			is.Equal(b.Alive(start.Add(tt.age)), tt.want)
+			is.Equal(d.Alive(start.Add(tt.age)), tt.want)
 		})
 	}
 }
@@ -68,23 +68,23 @@
 // Crash reports in a late heartbeat of an earlier process must not be delivered.
 func TestHeartbeatOfEarlierProcessIsDropped(t *testing.T) {
 	is := is.New(t)
-	b := newDetector()
+	d := newDetector()
 	var received []int
-	b.OnUpdate = func(_ time.Time, u heartbeat.Update) { received = append(received, len(u.Crashes)) }
+	d.OnUpdate = func(_ time.Time, u heartbeat.Update) { received = append(received, len(u.Crashes)) }
 	late := node(2, 1)
 	late.Crashes = make([]quarantine.CrashReport, 1)
-	b.Receive(start, node(2, 2))
-	b.Receive(start, late)
+	d.Receive(start, node(2, 2))
+	d.Receive(start, late)
 	is.Equal(received, []int{0})
 }
 
 // A process that is stopped before Run has started must still announce it.
 func TestAnnounceBeforeRun(t *testing.T) {
 	is := is.New(t)
-	b := newDetector()
-	b.AddPeer("a-1", node(2, 1).Peers)
+	d := newDetector()
+	d.AddPeer("a-1", node(2, 1).Peers)
 	n := network{node(2, 1).Peers.String(): make(chan []byte, 1)}
-	b.Announce(&packetConn{network: n})
+	d.Announce(&packetConn{network: n})
 	is.Equal(len(n[node(2, 1).Peers.String()]), 1)
 }
 
@@ -131,16 +131,16 @@
 		for i := 1; i <= entries; i++ {
 			self := node(i, 1)
 			n[self.Peers.String()] = make(chan []byte, 100)
-			b := newDetector()
-			b.Self = func() heartbeat.Node { return self }
-			all = append(all, b)
+			d := newDetector()
+			d.Self = func() heartbeat.Node { return self }
+			all = append(all, d)
 		}
 		// Only the first entry knows the addresses of the others.
 		all[0].AddPeer("a-1", node(2, 1).Peers)
 		all[0].AddPeer("a-1", node(3, 1).Peers)
-		for i, b := range all {
+		for i, d := range all {
 			conn := &packetConn{network: n, address: node(i+1, 1).Peers.String(), ended: make(chan struct{})}
-			go func() { _ = b.Run(ctx, conn) }()
+			go func() { _ = d.Run(ctx, conn) }()
 		}
 		time.Sleep(1200 * time.Millisecond)
 		is.Equal(len(all[0].Alive(time.Now())), 2)
--- a/internal/heartbeat/message.go
+++ b/internal/heartbeat/message.go
@@ -33,14 +33,14 @@
 		// Invalidations holds the versions of the newest store changes known to the
 		// sender, received from the store or from other entries.
 		Invalidations map[follow.Kind]store.Version
-		// Zones summarizes the sender's view of each availability zone.
+		// Zones summarises the sender's view of each availability zone.
 		Zones []zoneState
 		// Entries lists the entries of one zone for which the digests of sender
 		// and receiver differ; empty in most messages.
 		Entries []relayedNode
 	}
 
-	// zoneState summarizes the live entries of a zone.
+	// zoneState summarises the live entries of a zone.
 	zoneState struct {
 		_ struct{} `cbor:",toarray"`
 
--- a/internal/heartbeat/zone.go
+++ b/internal/heartbeat/zone.go
@@ -22,7 +22,7 @@
 	// view holds the live entries by zone. It is rebuilt when they change.
 	view struct {
 		at    time.Time
-		ready bool // this entry's own state
+		ready bool // this entry's readiness when the view was built
 		zones map[id.Zone]*zoneView
 		// names holds the zones of all known entries, this one included, in order.
 		// The empty name represents entries whose zone is unknown.
@@ -40,29 +40,28 @@
 )
 
 // current returns the cached view, or a new one if it is outdated.
-func (b *Detector) current(now time.Time, self *Node) *view {
-	if v := b.view; v == nil || now.Sub(v.at) >= viewTTL || v.ready != self.Ready {
-		b.view = b.buildView(now, self)
+func (d *Detector) current(now time.Time, self *Node) *view {
+	if v := d.view; v == nil || now.Sub(v.at) >= viewTTL || v.ready != self.Ready {
+		d.view = d.buildView(now, self)
 	}
-	return b.view
+	return d.view
 }
 
 // zone returns the live entries of a zone.
-func (b *Detector) zone(now time.Time, self *Node, zone id.Zone) *zoneView {
-	if z := b.current(now, self).zones[zone]; z != nil {
+func (d *Detector) zone(now time.Time, self *Node, zone id.Zone) *zoneView {
+	if z := d.current(now, self).zones[zone]; z != nil {
 		return z
 	}
 	return &zoneView{}
 }
 
-// buildView builds a view.
-func (b *Detector) buildView(now time.Time, self *Node) *view {
+func (d *Detector) buildView(now time.Time, self *Node) *view {
 	v := &view{at: now, ready: self.Ready, zones: make(map[id.Zone]*zoneView)}
 	names := map[id.Zone]bool{self.Zone: true}
 	v.add(self)
-	for _, p := range b.peers {
+	for _, p := range d.peers {
 		names[p.zone] = true
-		if b.isAlive(p, now) {
+		if d.isAlive(p, now) {
 			z := v.add(&p.node)
 			z.others = append(z.others, p)
 		}
@@ -101,9 +100,9 @@
 }
 
 // leadersOf returns the addresses of a zone's leaders, excluding this entry.
-func (b *Detector) leadersOf(now time.Time, self *Node, zone id.Zone) []netip.AddrPort {
+func (d *Detector) leadersOf(now time.Time, self *Node, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, n := range leadersAmong(b.zone(now, self, zone).members) {
+	for _, n := range leadersAmong(d.zone(now, self, zone).members) {
 		if n.Peers != self.Peers {
 			out = append(out, n.Peers)
 		}
@@ -112,20 +111,20 @@
 }
 
 // isLeader reports whether this entry is a leader of its zone.
-func (b *Detector) isLeader(now time.Time, self *Node) bool {
-	return slices.ContainsFunc(leadersAmong(b.zone(now, self, self.Zone).members), func(n *Node) bool { return n.Peers == self.Peers })
+func (d *Detector) isLeader(now time.Time, self *Node) bool {
+	return slices.ContainsFunc(leadersAmong(d.zone(now, self, self.Zone).members), func(n *Node) bool { return n.Peers == self.Peers })
 }
 
 func leadersAmong(members []*Node) []*Node { return members[:min(len(members), leadersPerZone)] }
 
-// zoneStates summarizes all zones.
-func (b *Detector) zoneStates(now time.Time, self *Node) []zoneState {
+// zoneStates summarises the live entries of each known zone.
+func (d *Detector) zoneStates(now time.Time, self *Node) []zoneState {
 	var out []zoneState
-	for _, zone := range b.current(now, self).names {
+	for _, zone := range d.current(now, self).names {
 		if zone == "" {
 			continue
 		}
-		z := b.zone(now, self, zone)
+		z := d.zone(now, self, zone)
 		s := zoneState{Zone: zone, Digest: z.digest}
 		for _, p := range z.others {
 			s.Age = max(s.Age, now.Sub(p.lastSeen))
@@ -137,43 +136,43 @@
 
 // targets returns the recipients of this entry's heartbeats: the leaders of its
 // zone, or, for a leader, all entries of its zone and the leaders of the others.
-// One silent entry per zone is added in rotation, so that entries discover each
-// other.
-func (b *Detector) targets(now time.Time) []netip.AddrPort {
-	self := b.Self()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.round++
-	leads := b.isLeader(now, &self)
+// One silent entry of each of these zones, and one whose zone is unknown, is added
+// in rotation, so that entries discover each other.
+func (d *Detector) targets(now time.Time) []netip.AddrPort {
+	self := d.Self()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.round++
+	leads := d.isLeader(now, &self)
 	var out []netip.AddrPort
-	for _, zone := range b.current(now, &self).names {
+	for _, zone := range d.current(now, &self).names {
 		switch {
 		case zone == self.Zone && leads:
-			for _, n := range b.zone(now, &self, zone).members {
+			for _, n := range d.zone(now, &self, zone).members {
 				if n.Peers != self.Peers {
 					out = append(out, n.Peers)
 				}
 			}
 		case zone == self.Zone || leads:
-			out = append(out, b.leadersOf(now, &self, zone)...)
+			out = append(out, d.leadersOf(now, &self, zone)...)
 		case zone != "":
 			continue
 		}
-		if silent := b.silentIn(now, zone); len(silent) > 0 {
-			out = append(out, silent[b.round%len(silent)])
+		if silent := d.silentIn(now, zone); len(silent) > 0 {
+			out = append(out, silent[d.round%len(silent)])
 		}
 	}
 	return out
 }
 
-// relayTargets returns the recipients to which a leader relays a change immediately: the
-// entries of its zone that are not leaders, which receive only relayed reports about
-// other entries, and the leaders of other zones.
-func (b *Detector) relayTargets(now time.Time) []netip.AddrPort {
-	self := b.Self()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.zone(now, &self, self.Zone).members
+// relayTargets returns the recipients to which a leader relays a change immediately:
+// the entries of its zone that are not leaders, which receive only relayed reports
+// about other entries, and the leaders of other zones.
+func (d *Detector) relayTargets(now time.Time) []netip.AddrPort {
+	self := d.Self()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	own := d.zone(now, &self, self.Zone).members
 	if len(own) <= leadersPerZone {
 		return nil // all entries received the change directly
 	}
@@ -181,19 +180,19 @@
 	for _, n := range own[leadersPerZone:] {
 		out = append(out, n.Peers)
 	}
-	for _, zone := range b.current(now, &self).names {
+	for _, zone := range d.current(now, &self).names {
 		if zone != self.Zone && zone != "" {
-			out = append(out, b.leadersOf(now, &self, zone)...)
+			out = append(out, d.leadersOf(now, &self, zone)...)
 		}
 	}
 	return out
 }
 
 // silentIn returns the known addresses of a zone that are not alive, in order.
-func (b *Detector) silentIn(now time.Time, zone id.Zone) []netip.AddrPort {
+func (d *Detector) silentIn(now time.Time, zone id.Zone) []netip.AddrPort {
 	var out []netip.AddrPort
-	for addr, p := range b.peers {
-		if p.zone == zone && !b.isAlive(p, now) {
+	for addr, p := range d.peers {
+		if p.zone == zone && !d.isAlive(p, now) {
 			out = append(out, addr)
 		}
 	}
@@ -205,32 +204,32 @@
 // heartbeat: of its own zone, and of all zones if the sender is in its zone. An
 // entry that is no leader answers too, since only senders with an outdated view
 // send heartbeats to it. Messages that carry a list are not answered.
-func (b *Detector) answer(now time.Time, conn net.PacketConn, m *message) {
-	self := b.Self()
+func (d *Detector) answer(now time.Time, conn net.PacketConn, m *message) {
+	self := d.Self()
 	var lists [][]relayedNode
-	b.mu.Lock()
+	d.mu.Lock()
 	reported := make(map[id.Zone]uint64, len(m.Zones))
 	for _, z := range m.Zones {
 		reported[z.Zone] = z.Digest
 	}
-	for _, zone := range b.current(now, &self).names {
-		ours := zone == self.Zone || m.From.Zone == self.Zone
-		if zone != "" && ours && reported[zone] != b.zone(now, &self, zone).digest {
-			lists = append(lists, b.relayedNodes(now, &self, zone)...)
+	for _, zone := range d.current(now, &self).names {
+		relevant := zone == self.Zone || m.From.Zone == self.Zone
+		if zone != "" && relevant && reported[zone] != d.zone(now, &self, zone).digest {
+			lists = append(lists, d.relayedNodes(now, &self, zone)...)
 		}
 	}
-	b.mu.Unlock()
+	d.mu.Unlock()
 	for _, list := range lists {
-		reply := b.compose(now)
+		reply := d.compose(now)
 		reply.Zones, reply.Entries = nil, list
-		b.write(conn, reply, []netip.AddrPort{m.From.Peers})
+		d.write(conn, reply, []netip.AddrPort{m.From.Peers})
 	}
 }
 
 // relayedNodes returns the live entries of a zone in chunks that fit into datagrams.
-func (b *Detector) relayedNodes(now time.Time, self *Node, zone id.Zone) [][]relayedNode {
+func (d *Detector) relayedNodes(now time.Time, self *Node, zone id.Zone) [][]relayedNode {
 	var all []relayedNode
-	for _, p := range b.zone(now, self, zone).others {
+	for _, p := range d.zone(now, self, zone).others {
 		n := p.node
 		n.Changes, n.StoreAvailableFor, n.Crashes = nil, 0, nil
 		all = append(all, relayedNode{Node: n, Age: now.Sub(p.lastSeen)})
@@ -238,7 +237,7 @@
 	if zone == self.Zone {
 		n := *self
 		n.Changes, n.StoreAvailableFor, n.Crashes = nil, 0, nil
-		n.Count = b.count
+		n.Count = d.count
 		all = append(all, relayedNode{Node: n})
 	}
 	return slices.Collect(slices.Chunk(all, maxListed))
