--- a/internal/entryview/view.go
+++ b/internal/entryview/view.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	b, err := entryview.Fetch(ctx, http.DefaultClient, "10.1.0.10:9640")
+//	v, err := entryview.Fetch(ctx, http.DefaultClient, "10.1.0.10:9640")
 //	for _, line := range entryview.Differences(all) {
 //		fmt.Println(line)
 //	}
@@ -30,7 +30,7 @@
 
 // URL paths at the address of an entry's metrics.
 const (
-	// Path serves Beliefs.
+	// Path serves a View.
 	Path = "/beliefs"
 	// ExplainPath serves an Explanation of the request described by the query
 	// parameters host, path and object.
@@ -136,14 +136,15 @@
 	Evacuated State = "evacuated"
 )
 
-// ageMargin is the difference between the ages of two entries' store data that is
-// not reported: a watch of an entry that is no short-poll entry waits for up to 12 s.
+// ageMargin is the largest difference between the ages of two entries' store data
+// that is not reported: a watch of an entry that is no short-poll entry waits for up
+// to 12 s.
 const ageMargin = 13 * time.Second
 
 // Fetch requests the state of the entry with the given metrics address.
 func Fetch(ctx context.Context, client *http.Client, address string) (*View, error) {
-	var b View
-	return &b, get(ctx, client, "http://"+address+Path, &b)
+	var v View
+	return &v, get(ctx, client, "http://"+address+Path, &v)
 }
 
 // Explain asks the entry with the given metrics address how it would route a request.
@@ -173,21 +174,21 @@
 // difference.
 func Differences(all []*View) []string {
 	var out []string
-	for _, b := range all {
+	for _, v := range all {
 		first := all[0]
 		report := func(format string, args ...any) {
-			out = append(out, fmt.Sprintf("%s and %s: ", first.Instance, b.Instance)+fmt.Sprintf(format, args...))
+			out = append(out, fmt.Sprintf("%s and %s: ", first.Instance, v.Instance)+fmt.Sprintf(format, args...))
 		}
-		if b.Version != first.Version {
-			report("configuration %d and %d", first.Version, b.Version)
+		if v.Version != first.Version {
+			report("configuration %d and %d", first.Version, v.Version)
 		}
-		if !slices.Equal(b.EvacuatedZones, first.EvacuatedZones) {
-			report("evacuated zones %v and %v", first.EvacuatedZones, b.EvacuatedZones)
+		if !slices.Equal(v.EvacuatedZones, first.EvacuatedZones) {
+			report("evacuated zones %v and %v", first.EvacuatedZones, v.EvacuatedZones)
 		}
-		if b.Known != first.Known {
-			report("%d and %d other entries known", first.Known, b.Known)
+		if v.Known != first.Known {
+			report("%d and %d other entries known", first.Known, v.Known)
 		}
-		for _, k := range b.Store {
+		for _, k := range v.Store {
 			if i := slices.IndexFunc(first.Store, func(f StoreState) bool { return f.Name == k.Name }); i >= 0 {
 				if f := first.Store[i]; f.Change != k.Change {
 					report("%s up to change %d and %d", k.Name, f.Change, k.Change)
@@ -196,7 +197,7 @@
 				}
 			}
 		}
-		for _, s := range b.Servers {
+		for _, s := range v.Servers {
 			i := slices.IndexFunc(first.Servers, func(f Server) bool { return f.Name == s.Name })
 			switch {
 			case i < 0:
@@ -206,7 +207,7 @@
 			}
 		}
 		for _, f := range first.Servers {
-			if !slices.ContainsFunc(b.Servers, func(s Server) bool { return s.Name == f.Name }) {
+			if !slices.ContainsFunc(v.Servers, func(s Server) bool { return s.Name == f.Name }) {
 				report("server %s is %s and not known", f.Name, f.State)
 			}
 		}
--- a/internal/entryview/view_test.go
+++ b/internal/entryview/view_test.go
@@ -19,20 +19,20 @@
 		}
 	}
 	tests := map[string]struct {
-		change func(b *entryview.View)
+		change func(v *entryview.View)
 		want   []string
 	}{
 		"none":                         {func(*entryview.View) {}, nil},
-		"configuration":                {func(b *entryview.View) { b.Version = 6 }, []string{"entry-1 and entry-2: configuration 7 and 6"}},
-		"evacuated zones":              {func(b *entryview.View) { b.EvacuatedZones = []id.Zone{"a-1"} }, []string{"entry-1 and entry-2: evacuated zones [] and [a-1]"}},
-		"known entries":                {func(b *entryview.View) { b.Known = 5 }, []string{"entry-1 and entry-2: 6 and 5 other entries known"}},
-		"store change":                 {func(b *entryview.View) { b.Store[0].Change = 39 }, []string{"entry-1 and entry-2: servers up to change 40 and 39"}},
-		"age within the margin":        {func(b *entryview.View) { b.Store[0].Age = 10 * time.Second }, nil},
-		"age beyond the margin":        {func(b *entryview.View) { b.Store[0].Age = time.Minute }, []string{"entry-1 and entry-2: servers confirmed 1s and 1m0s ago"}},
-		"server state":                 {func(b *entryview.View) { b.Servers[0].State = entryview.Out }, []string{"entry-1 and entry-2: server i-1 is usable and out"}},
-		"server missing in the second": {func(b *entryview.View) { b.Servers = nil }, []string{"entry-1 and entry-2: server i-1 is usable and not known"}},
-		"server missing in the first": {func(b *entryview.View) {
-			b.Servers = append(b.Servers, entryview.Server{Name: "i-2", State: entryview.Cold})
+		"configuration":                {func(v *entryview.View) { v.Version = 6 }, []string{"entry-1 and entry-2: configuration 7 and 6"}},
+		"evacuated zones":              {func(v *entryview.View) { v.EvacuatedZones = []id.Zone{"a-1"} }, []string{"entry-1 and entry-2: evacuated zones [] and [a-1]"}},
+		"known entries":                {func(v *entryview.View) { v.Known = 5 }, []string{"entry-1 and entry-2: 6 and 5 other entries known"}},
+		"store change":                 {func(v *entryview.View) { v.Store[0].Change = 39 }, []string{"entry-1 and entry-2: servers up to change 40 and 39"}},
+		"age within the margin":        {func(v *entryview.View) { v.Store[0].Age = 10 * time.Second }, nil},
+		"age beyond the margin":        {func(v *entryview.View) { v.Store[0].Age = time.Minute }, []string{"entry-1 and entry-2: servers confirmed 1s and 1m0s ago"}},
+		"server state":                 {func(v *entryview.View) { v.Servers[0].State = entryview.Out }, []string{"entry-1 and entry-2: server i-1 is usable and out"}},
+		"server missing in the second": {func(v *entryview.View) { v.Servers = nil }, []string{"entry-1 and entry-2: server i-1 is usable and not known"}},
+		"server missing in the first": {func(v *entryview.View) {
+			v.Servers = append(v.Servers, entryview.Server{Name: "i-2", State: entryview.Cold})
 		}, []string{"entry-1 and entry-2: server i-2 is not known and cold"}},
 	}
 	for name, tt := range tests {
