--- a/internal/logread/logread.go
+++ b/internal/logread/logread.go
@@ -7,8 +7,8 @@
 //
 // # Usage
 //
-//	s, err := logread.Find(file, "9c41d07be2a35f68")
-//	s.WriteText(os.Stdout)
+//	t, err := logread.Find(file, "9c41d07be2a35f68")
+//	t.WriteText(os.Stdout)
 package logread
 
 import (
@@ -139,7 +139,7 @@
 // Find extracts the lines about a request from a log. It returns an error if there
 // are none, or if the log can't be read.
 func Find(log io.Reader, request string) (*Trace, error) {
-	s := &Trace{Request: request}
+	t := &Trace{Request: request}
 	var others []Line
 	servers := make(map[string]bool)
 	scanner := bufio.NewScanner(log)
@@ -149,7 +149,7 @@
 		switch {
 		case !ok:
 		case l.fields["request"] == request:
-			s.Lines = append(s.Lines, l)
+			t.Lines = append(t.Lines, l)
 			servers[l.fields["server"]], servers[l.fields["owner"]] = true, true
 		case l.fields["request"] == "":
 			others = append(others, l)
@@ -158,60 +158,60 @@
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "read log")
 	}
-	if len(s.Lines) == 0 {
+	if len(t.Lines) == 0 {
 		return nil, eris.Errorf("no line for request %q", request)
 	}
 	delete(servers, "")
-	from, to := s.Lines[0].At.Add(-lookback), s.Lines[len(s.Lines)-1].At
+	from, to := t.Lines[0].At.Add(-lookback), t.Lines[len(t.Lines)-1].At
 	for _, l := range others {
-		if l.Source == s.Lines[0].Source && !l.At.Before(from) && !l.At.After(to) && (servers[l.fields["server"]] || concernsAll(l.Message)) {
-			s.StateChanges = append(s.StateChanges, l)
+		if l.Source == t.Lines[0].Source && !l.At.Before(from) && !l.At.After(to) && (servers[l.fields["server"]] || concernsAll(l.Message)) {
+			t.StateChanges = append(t.StateChanges, l)
 		}
 	}
-	s.explain()
-	return s, nil
+	t.explain()
+	return t, nil
 }
 
 // explain derives Code and Meaning from the final line of the request.
-func (s *Trace) explain() {
-	i := slices.IndexFunc(s.Lines, func(l Line) bool { return l.Message == "request" })
+func (t *Trace) explain() {
+	i := slices.IndexFunc(t.Lines, func(l Line) bool { return l.Message == "request" })
 	if i < 0 {
-		s.Meaning = []string{"the final line of the request is missing: the request was in progress when the log ended, or the line was dropped"}
+		t.Meaning = []string{"the final line of the request is missing: the request was in progress when the log ended, or the line was dropped"}
 		return
 	}
-	f := s.Lines[i].fields
+	f := t.Lines[i].fields
 	if code, err := strconv.Atoi(f["code"]); err == nil {
-		s.Code = result.Code(code)
-		if info, ok := s.Code.Info(); ok {
-			s.Meaning = append(s.Meaning, fmt.Sprintf("code %d, %s: %s", code, info.Name, info.Meaning))
+		t.Code = result.Code(code)
+		if info, ok := t.Code.Info(); ok {
+			t.Meaning = append(t.Meaning, fmt.Sprintf("code %d, %s: %s", code, info.Name, info.Meaning))
 		}
 	}
 	if text := explainChoice(f["choice"]); text != "" {
-		s.Meaning = append(s.Meaning, text)
+		t.Meaning = append(t.Meaning, text)
 	}
 	if f["sends"] == "0" && f["status"] != "200" {
-		s.Meaning = append(s.Meaning, "it reached no server")
+		t.Meaning = append(t.Meaning, "it reached no server")
 	}
 	if f["unconnected"] != "" && f["unconnected"] != "0" {
-		s.Meaning = append(s.Meaning, "servers that accepted no connection: "+f["unconnected"])
+		t.Meaning = append(t.Meaning, "servers that accepted no connection: "+f["unconnected"])
 	}
 	if age, err := time.ParseDuration(f["storeAge"]); err == nil && age > lookback {
-		s.Meaning = append(s.Meaning, fmt.Sprintf("the last answer that the entry had received from the store was %v old", age.Round(time.Millisecond)))
+		t.Meaning = append(t.Meaning, fmt.Sprintf("the last answer that the entry had received from the store was %v old", age.Round(time.Millisecond)))
 	}
 }
 
-// WriteText writes the story as text for operators.
-func (s *Trace) WriteText(w io.Writer) error {
-	lines := []string{"request " + s.Request}
-	for _, m := range s.Meaning {
+// WriteText writes the trace as text for operators.
+func (t *Trace) WriteText(w io.Writer) error {
+	lines := []string{"request " + t.Request}
+	for _, m := range t.Meaning {
 		lines = append(lines, "  "+m)
 	}
 	lines = append(lines, "lines of the request:")
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		lines = append(lines, "  "+l.Text)
 	}
 	lines = append(lines, "state changes of the entry before it:")
-	for _, l := range s.StateChanges {
+	for _, l := range t.StateChanges {
 		lines = append(lines, "  "+l.Text)
 	}
 	_, err := io.WriteString(w, strings.Join(lines, "\n")+"\n")
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -25,21 +25,21 @@
 
 func TestFindExtractsRequestAndStateChanges(t *testing.T) {
 	is := is.New(t)
-	s, err := logread.Find(strings.NewReader(log), "ab")
+	trace, err := logread.Find(strings.NewReader(log), "ab")
 	is.NoErr(err)
-	is.Equal(s.Code, result.NoCapacity)
-	is.Equal(len(s.Lines), 2)
+	is.Equal(trace.Code, result.NoCapacity)
+	is.Equal(len(trace.Lines), 2)
 	var changes []string
-	for _, l := range s.StateChanges {
+	for _, l := range trace.StateChanges {
 		changes = append(changes, l.Message)
 	}
 	is.Equal(changes, []string{"store lost", "backend server gone"}) // without those that are earlier, later, or about other servers or entries
-	meaning := strings.Join(s.Meaning, "\n")
+	meaning := strings.Join(trace.Meaning, "\n")
 	for _, part := range []string{"code 2010", "no server had free capacity", "it reached no server", "servers that accepted no connection: 1", "11.5s"} {
 		is.True(strings.Contains(meaning, part)) // the meaning contains part
 	}
 	var out strings.Builder
-	is.NoErr(s.WriteText(&out))
+	is.NoErr(trace.WriteText(&out))
 	is.True(strings.Contains(out.String(), "connection refused"))
 }
 
