--- a/internal/logs/doc.go
+++ b/internal/logs/doc.go
@@ -4,6 +4,6 @@
 // # Usage
 //
 //	log := logs.New(os.Stderr, s.Log)
-//	logs.Adopt(log)
+//	logs.RedirectLibraryLogs(log)
 //	log.Info("entry started", "instance", s.Instance)
 package logs
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -26,10 +26,10 @@
 	return slog.New(slog.NewTextHandler(w, &options))
 }
 
-// RedirectLibraryLogs redirects the lines of go-zero and of the standard library's log package to
-// log, for the whole process. net/http logs protocol errors of connections to the
-// latter; those lines are written as warnings. Adopt must be called before any
-// go-zero server is created.
+// RedirectLibraryLogs redirects the lines of go-zero and of the standard library's
+// log package to log, for the whole process. net/http logs protocol errors of
+// connections to the latter; those lines are written as warnings. RedirectLibraryLogs
+// must be called before any go-zero server is created.
 func RedirectLibraryLogs(log *slog.Logger) error {
 	if err := logx.SetUp(logx.LogConf{Mode: "console", Encoding: "plain", Level: "info"}); err != nil {
 		return eris.Wrap(err, "set up go-zero logging")
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -14,7 +14,7 @@
 	"github.com/shallotpier/shallotpier/internal/settings"
 )
 
-func TestAdoptRedirectsGoZeroLog(t *testing.T) {
+func TestGoZeroLogIsRedirected(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(logs.RedirectLibraryLogs(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestAdoptRedirectsStandardLog(t *testing.T) {
+func TestStandardLogIsRedirected(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(logs.RedirectLibraryLogs(logs.New(&out, settings.Log{Level: settings.Info, Format: settings.KeyValue})))
