--- a/cmd/shallotpier-entry/main.go
+++ b/cmd/shallotpier-entry/main.go
@@ -1,7 +1,7 @@
 // Command shallotpier-entry runs an entry instance on the users' platform. It reads
 // the settings file at the path in the environment variable SHALLOTPIER_SETTINGS,
 // reloads it when it changes or on SIGHUP, logs to standard output, and shuts down
-// gracefully on SIGTERM.
+// gracefully on SIGTERM or SIGINT.
 package main
 
 import (
