--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -28,16 +28,16 @@
 func (s *soak) report(recoveryEnd time.Time) *Report {
 	s.callers.mu.Lock()
 	defer s.callers.mu.Unlock()
-	v := &checker{soak: s, attempts: s.callers.attempts, byID: make(map[string]*attempt), runs: make(map[string][]standin.Run)}
-	for _, a := range v.attempts {
-		v.byID[a.id] = a
+	c := &checker{soak: s, attempts: s.callers.attempts, byID: make(map[string]*attempt), runs: make(map[string][]standin.Run)}
+	for _, a := range c.attempts {
+		c.byID[a.id] = a
 	}
 	for _, r := range s.ledger.Runs() {
-		v.runs[r.Request] = append(v.runs[r.Request], r)
+		c.runs[r.Request] = append(c.runs[r.Request], r)
 	}
-	r := &Report{Seed: s.options.Seed, Requests: len(v.attempts), Faults: s.faults, Folder: s.options.Folder}
+	r := &Report{Seed: s.options.Seed, Requests: len(c.attempts), Faults: s.faults, Folder: s.options.Folder}
 	recoverySent, recoveryServed := 0, 0
-	for _, a := range v.attempts {
+	for _, a := range c.attempts {
 		if a.status == http.StatusOK {
 			r.Served++
 		}
@@ -52,38 +52,38 @@
 		r.Recovered = float64(recoveryServed) / float64(recoverySent)
 	}
 	if r.Recovered < minRecovered {
-		v.addViolation("recovery: only %d of %d requests were served after the last fault", recoveryServed, recoverySent)
+		c.addViolation("recovery: only %d of %d requests were served after the last fault", recoveryServed, recoverySent)
 	}
-	v.checkRuns()
-	v.checkAnswers()
-	v.checkDraining()
-	v.checkVersions()
-	r.Violations = v.violations
+	c.checkRuns()
+	c.checkAnswers()
+	c.checkDraining()
+	c.checkVersions()
+	r.Violations = c.violations
 	return r
 }
 
 // addViolation records a violation of a guarantee.
-func (v *checker) addViolation(format string, args ...any) {
-	v.violations = append(v.violations, fmt.Sprintf(format, args...))
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // seconds returns the time since the start of the run, in seconds.
-func (v *checker) seconds(t time.Time) float64 { return t.Sub(v.soak.start).Seconds() }
+func (c *checker) seconds(t time.Time) float64 { return t.Sub(c.soak.start).Seconds() }
 
 // checkRuns looks for writes that ran more than once and for requests that reached
 // a server modified.
-func (v *checker) checkRuns() {
-	for name, runs := range v.runs {
-		a := v.byID[name]
+func (c *checker) checkRuns() {
+	for name, runs := range c.runs {
+		a := c.byID[name]
 		if a == nil {
 			continue // interrupted by the end of the run
 		}
 		if len(runs) > 1 && a.method == http.MethodPost {
-			v.addViolation("twice: %s ran %d times", name, len(runs))
+			c.addViolation("twice: %s ran %d times", name, len(runs))
 		}
 		for _, r := range runs {
 			if r.Method != a.method || r.Path != a.path || r.Digest != a.digest && r.Digest != "broken off" {
-				v.addViolation("changed: %s was sent as %s %s and ran as %s %s", name, a.method, a.path, r.Method, r.Path)
+				c.addViolation("changed: %s was sent as %s %s and ran as %s %s", name, a.method, a.path, r.Method, r.Path)
 			}
 		}
 	}
@@ -91,22 +91,22 @@
 
 // checkAnswers looks for wrong answers, for writes that ran although they were
 // rejected, and for requests that a graceful shutdown interrupted.
-func (v *checker) checkAnswers() {
-	for _, a := range v.attempts {
-		runs := v.runs[a.id]
+func (c *checker) checkAnswers() {
+	for _, a := range c.attempts {
+		runs := c.runs[a.id]
 		switch {
-		case a.status == http.StatusOK && !v.answeredByRun(a, runs):
-			v.addViolation("mixed: %s got the wrong answer %q", a.id, a.body)
+		case a.status == http.StatusOK && !c.answeredByRun(a, runs):
+			c.addViolation("mixed: %s got the wrong answer %q", a.id, a.body)
 		case a.status == http.StatusServiceUnavailable && a.method == http.MethodPost && len(runs) > 0:
-			v.addViolation("refused: %s was answered with 503 but ran", a.id)
+			c.addViolation("refused: %s was answered with 503 but ran", a.id)
 		case a.status == 0 && a.duringShutdown && len(runs) > 0 && a.done.Sub(a.sent) < requestDeadline && a.entry.disturbance.quiet(a.done, quietPeriod):
-			v.addViolation("lost: %s ran but got no answer at %.2f s from %s, which was shutting down", a.id, v.seconds(a.done), a.entry.name)
+			c.addViolation("lost: %s ran but got no answer at %.2f s from %s, which was shutting down", a.id, c.seconds(a.done), a.entry.name)
 		}
 	}
 }
 
 // answeredByRun reports whether the answer to an attempt is that of one of its runs.
-func (v *checker) answeredByRun(a *attempt, runs []standin.Run) bool {
+func (c *checker) answeredByRun(a *attempt, runs []standin.Run) bool {
 	return slices.ContainsFunc(runs, func(r standin.Run) bool {
 		return a.signature == standin.Signature(a.id, r.Server) && a.body == a.id+" "+string(r.Server)
 	})
@@ -114,59 +114,59 @@
 
 // checkDraining looks for requests that reached a server more than drainDelay after
 // it had announced draining.
-func (v *checker) checkDraining() {
-	for name, runs := range v.runs {
-		a := v.byID[name]
+func (c *checker) checkDraining() {
+	for name, runs := range c.runs {
+		a := c.byID[name]
 		if a == nil {
 			continue
 		}
 		for _, r := range runs {
-			since, ok := v.soak.drainingSince[r.Server]
-			if !ok || r.At.Sub(since) <= drainDelay || !v.quiet(a.entry, r.At) {
+			since, ok := c.soak.drainingSince[r.Server]
+			if !ok || r.At.Sub(since) <= drainDelay || !c.quiet(a.entry, r.At) {
 				continue
 			}
-			v.addViolation("leaving: %s reached %s through %s %v after the server announced draining", a.id, r.Server, a.entry.name, r.At.Sub(since))
+			c.addViolation("leaving: %s reached %s through %s %v after the server announced draining", a.id, r.Server, a.entry.name, r.At.Sub(since))
 		}
 	}
 }
 
 // quiet reports whether no fault disturbed the entry or the store during the
 // quietPeriod before a time.
-func (v *checker) quiet(e *process, at time.Time) bool {
-	return e.disturbance.quiet(at, quietPeriod) && v.soak.storeDisturbance.quiet(at, quietPeriod)
+func (c *checker) quiet(e *process, at time.Time) bool {
+	return e.disturbance.quiet(at, quietPeriod) && c.soak.storeDisturbance.quiet(at, quietPeriod)
 }
 
 // checkVersions looks for entries that reverted to an older configuration or applied
-// one too recoverySent.
-func (v *checker) checkVersions() {
+// one too late.
+func (c *checker) checkVersions() {
 	type incarnation struct {
 		entry      string
 		startCount int
 	}
-	probes := slices.Clone(v.attempts)
+	probes := slices.Clone(c.attempts)
 	slices.SortFunc(probes, func(a, b *attempt) int { return a.done.Compare(b.done) })
 	type probe struct {
 		version int
 		done    time.Time
 	}
-	newest := make(map[incarnation][]probe)
+	earlier := make(map[incarnation][]probe)
 	for _, a := range probes {
 		if a.version == 0 || a.status != http.StatusOK {
 			continue
 		}
 		key := incarnation{a.entry.name, a.startCount}
-		for _, s := range newest[key] {
-			if s.done.Before(a.sent) && s.version > a.version {
-				v.addViolation("reverted: %s served version %d at %.2f s after version %d", a.entry.name, a.version, v.seconds(a.sent), s.version)
+		for _, p := range earlier[key] {
+			if p.done.Before(a.sent) && p.version > a.version {
+				c.addViolation("reverted: %s served version %d at %.2f s after version %d", a.entry.name, a.version, c.seconds(a.sent), p.version)
 				break
 			}
 		}
-		newest[key] = append(newest[key], probe{a.version, a.done})
+		earlier[key] = append(earlier[key], probe{a.version, a.done})
 	}
-	for _, a := range v.attempts {
-		at, ok := v.soak.versions[a.version+1]
-		if a.version > 0 && a.status == http.StatusOK && ok && a.sent.Sub(at) > maxConfigDelay && v.quiet(a.entry, a.sent) {
-			v.addViolation("late: %s served version %d at %.2f s, %v after the next version was published", a.entry.name, a.version, v.seconds(a.sent), a.sent.Sub(at))
+	for _, a := range c.attempts {
+		at, ok := c.soak.versions[a.version+1]
+		if a.version > 0 && a.status == http.StatusOK && ok && a.sent.Sub(at) > maxConfigDelay && c.quiet(a.entry, a.sent) {
+			c.addViolation("late: %s served version %d at %.2f s, %v after the next version was published", a.entry.name, a.version, c.seconds(a.sent), a.sent.Sub(at))
 		}
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -16,7 +16,7 @@
 const maxFaultGap = 900 * time.Millisecond
 
 // fault injects one kind of fault and returns when it has ended.
-type fault func(ctx context.Context, s *soak, d faultParams)
+type fault func(ctx context.Context, s *soak, p faultParams)
 
 // faultParams are the random parameters of one fault.
 type faultParams struct {
@@ -55,29 +55,29 @@
 	var wg sync.WaitGroup
 	for end := time.Now().Add(s.options.Length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := all[s.rng.IntN(len(all))]
-		d := faultParams{
+		p := faultParams{
 			entry: s.entries[s.rng.IntN(len(s.entries))], server: s.servers[s.rng.IntN(len(s.servers))],
 			duration: time.Duration(0.3e9 + s.rng.Int64N(2.5e9)), ratio: 0.2 + 0.6*s.rng.Float64(),
 		}
 		gap := time.Duration(s.rng.Int64N(int64(maxFaultGap)))
-		wg.Go(func() { f(ctx, s, d) })
+		wg.Go(func() { f(ctx, s, p) })
 		sleep(ctx, gap)
 	}
 	wg.Wait()
 }
 
-func killEntry(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("%s killed for %v", d.entry.name, d.duration)
-	d.entry.disturbance.add(time.Now().Add(d.duration + startTimeout))
-	d.entry.kill()
-	sleep(ctx, d.duration)
-	s.relaunch(d.entry)
+func killEntry(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("%s killed for %v", p.entry.name, p.duration)
+	p.entry.disturbance.add(time.Now().Add(p.duration + startTimeout))
+	p.entry.kill()
+	sleep(ctx, p.duration)
+	s.relaunch(p.entry)
 }
 
-func stopEntry(_ context.Context, s *soak, d faultParams) {
-	s.logFault("%s shut down", d.entry.name)
-	d.entry.stop()
-	s.relaunch(d.entry)
+func stopEntry(_ context.Context, s *soak, p faultParams) {
+	s.logFault("%s shut down", p.entry.name)
+	p.entry.stop()
+	s.relaunch(p.entry)
 }
 
 // relaunch starts an entry again, unless another fault has done so.
@@ -93,88 +93,88 @@
 	}
 }
 
-func pauseEntry(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("%s paused for %v", d.entry.name, d.duration)
-	d.entry.disturbance.add(time.Now().Add(d.duration))
-	d.entry.signal(syscall.SIGSTOP)
-	sleep(ctx, d.duration)
-	d.entry.signal(syscall.SIGCONT)
-	d.entry.disturbance.add(time.Now())
+func pauseEntry(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("%s paused for %v", p.entry.name, p.duration)
+	p.entry.disturbance.add(time.Now().Add(p.duration))
+	p.entry.signal(syscall.SIGSTOP)
+	sleep(ctx, p.duration)
+	p.entry.signal(syscall.SIGCONT)
+	p.entry.disturbance.add(time.Now())
 }
 
-func reloadEntry(_ context.Context, s *soak, d faultParams) {
-	s.logFault("%s reloads its settings", d.entry.name)
-	d.entry.signal(syscall.SIGHUP)
+func reloadEntry(_ context.Context, s *soak, p faultParams) {
+	s.logFault("%s reloads its settings", p.entry.name)
+	p.entry.signal(syscall.SIGHUP)
 }
 
-func stallStore(ctx context.Context, s *soak, d faultParams) { s.stallStorePath(ctx, d, stalled) }
+func stallStore(ctx context.Context, s *soak, p faultParams) { s.stallStorePath(ctx, p, stalled) }
 
-func stallStoreResponses(ctx context.Context, s *soak, d faultParams) {
-	s.stallStorePath(ctx, d, stalledResponses)
+func stallStoreResponses(ctx context.Context, s *soak, p faultParams) {
+	s.stallStorePath(ctx, p, stalledResponses)
 }
 
 // stallStorePath sets the mode of the proxy between an entry and the store for the
 // duration of the fault.
-func (s *soak) stallStorePath(ctx context.Context, d faultParams, m mode) {
-	s.logFault("store path stalled (mode %d) for %s for %v", m, d.entry.name, d.duration)
-	d.entry.disturbance.add(time.Now().Add(d.duration))
-	d.entry.storeProxy.setMode(m, 0)
-	sleep(ctx, d.duration)
-	d.entry.storeProxy.setMode(forwarding, 0)
-	d.entry.disturbance.add(time.Now())
+func (s *soak) stallStorePath(ctx context.Context, p faultParams, m mode) {
+	s.logFault("store path stalled (mode %d) for %s for %v", m, p.entry.name, p.duration)
+	p.entry.disturbance.add(time.Now().Add(p.duration))
+	p.entry.storeProxy.setMode(m, 0)
+	sleep(ctx, p.duration)
+	p.entry.storeProxy.setMode(forwarding, 0)
+	p.entry.disturbance.add(time.Now())
 }
 
-func resetStoreConnections(_ context.Context, s *soak, d faultParams) {
-	s.logFault("store connections of %s reset", d.entry.name)
-	d.entry.disturbance.add(time.Now())
-	d.entry.storeProxy.reset()
+func resetStoreConnections(_ context.Context, s *soak, p faultParams) {
+	s.logFault("store connections of %s reset", p.entry.name)
+	p.entry.disturbance.add(time.Now())
+	p.entry.storeProxy.reset()
 }
 
-func failStore(ctx context.Context, s *soak, d faultParams) {
+func failStore(ctx context.Context, s *soak, p faultParams) {
 	status := http.StatusServiceUnavailable
-	if d.ratio > 0.5 {
+	if p.ratio > 0.5 {
 		status = http.StatusTooManyRequests
 	}
-	s.logFault("store answers %d for %v", status, d.duration)
-	s.storeDisturbance.add(time.Now().Add(d.duration))
+	s.logFault("store answers %d for %v", status, p.duration)
+	s.storeDisturbance.add(time.Now().Add(p.duration))
 	s.store.Fail(status)
-	sleep(ctx, d.duration)
+	sleep(ctx, p.duration)
 	s.store.Fail(0)
 	s.storeDisturbance.add(time.Now())
 }
 
-func compactStore(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("store stalls watches for %v, then discards its history", d.duration/2)
-	s.storeDisturbance.add(time.Now().Add(d.duration / 2))
+func compactStore(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("store stalls watches for %v, then discards its history", p.duration/2)
+	s.storeDisturbance.add(time.Now().Add(p.duration / 2))
 	s.store.StallWatches()
-	sleep(ctx, d.duration/2)
+	sleep(ctx, p.duration/2)
 	s.store.Compact()
 	s.storeDisturbance.add(time.Now())
 }
 
-func crashServer(ctx context.Context, s *soak, d faultParams) {
-	name := d.server.Name()
-	s.logFault("server %s crashes for %v", name, d.duration)
-	d.server.Stop()
-	d.server.proxy.reset()
+func crashServer(ctx context.Context, s *soak, p faultParams) {
+	name := p.server.Name()
+	s.logFault("server %s crashes for %v", name, p.duration)
+	p.server.Stop()
+	p.server.proxy.reset()
 	s.store.Remove(platform.KindServers, string(name))
-	sleep(ctx, d.duration)
-	s.restartServer(d.server)
+	sleep(ctx, p.duration)
+	s.restartServer(p.server)
 }
 
 // drainServer drains a server and starts another one at its address.
-func drainServer(ctx context.Context, s *soak, d faultParams) {
-	name := d.server.Name()
+func drainServer(ctx context.Context, s *soak, p faultParams) {
+	name := p.server.Name()
 	s.logFault("server %s drains", name)
-	d.server.Register("draining")
+	p.server.Register("draining")
 	s.recordDraining(name)
-	sleep(ctx, drainDelay+d.duration)
-	if d.server.Name() != name {
+	sleep(ctx, drainDelay+p.duration)
+	if p.server.Name() != name {
 		return // it crashed in the meantime
 	}
 	s.store.Remove(platform.KindServers, string(name))
-	d.server.Stop()
-	s.restartServer(d.server)
+	p.server.Stop()
+	s.restartServer(p.server)
 }
 
 // restartServer starts a server under a new name. If another fault has already
@@ -185,39 +185,39 @@
 	}
 }
 
-func slowServer(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "is slow", standin.Faults{Slowdown: 10})
+func slowServer(ctx context.Context, s *soak, p faultParams) {
+	s.injectServerFault(ctx, p, "is slow", standin.Faults{Slowdown: 10})
 }
 
-func loseResponses(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "loses responses", standin.Faults{LossRatio: d.ratio})
+func loseResponses(ctx context.Context, s *soak, p faultParams) {
+	s.injectServerFault(ctx, p, "loses responses", standin.Faults{LossRatio: p.ratio})
 }
 
-func rejectRequests(ctx context.Context, s *soak, d faultParams) {
-	s.injectServerFault(ctx, d, "refuses", standin.Faults{RejectRatio: d.ratio})
+func rejectRequests(ctx context.Context, s *soak, p faultParams) {
+	s.injectServerFault(ctx, p, "refuses", standin.Faults{RejectRatio: p.ratio})
 }
 
-// injectServerFault sets the faults of a server for the duration of d.
-func (s *soak) injectServerFault(ctx context.Context, d faultParams, what string, f standin.Faults) {
-	s.logFault("server %s %s for %v", d.server.Name(), what, d.duration)
+// injectServerFault sets the faults of a server for p.duration.
+func (s *soak) injectServerFault(ctx context.Context, p faultParams, what string, f standin.Faults) {
+	s.logFault("server %s %s for %v", p.server.Name(), what, p.duration)
 	f.Random = s.random
-	d.server.SetFaults(f)
-	sleep(ctx, d.duration)
-	d.server.SetFaults(standin.Faults{})
+	p.server.SetFaults(f)
+	sleep(ctx, p.duration)
+	p.server.SetFaults(standin.Faults{})
 }
 
-func stallServer(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("server %s is stalled for %v", d.server.Name(), d.duration)
-	d.server.proxy.setMode(stalled, 0)
-	sleep(ctx, d.duration)
-	d.server.proxy.setMode(forwarding, 0)
+func stallServer(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("server %s is stalled for %v", p.server.Name(), p.duration)
+	p.server.proxy.setMode(stalled, 0)
+	sleep(ctx, p.duration)
+	p.server.proxy.setMode(forwarding, 0)
 }
 
-func delayServer(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("server %s is delayed for %v", d.server.Name(), d.duration)
-	d.server.proxy.setMode(forwarding, 50*time.Millisecond)
-	sleep(ctx, d.duration)
-	d.server.proxy.setMode(forwarding, 0)
+func delayServer(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("server %s is delayed for %v", p.server.Name(), p.duration)
+	p.server.proxy.setMode(forwarding, 50*time.Millisecond)
+	sleep(ctx, p.duration)
+	p.server.proxy.setMode(forwarding, 0)
 }
 
 func changeConfig(_ context.Context, s *soak, _ faultParams) {
@@ -228,11 +228,11 @@
 	s.logFault("configuration %d published", v)
 }
 
-func evacuateZone(ctx context.Context, s *soak, d faultParams) {
-	s.logFault("zone %s evacuated for %v", d.server.zone, d.duration)
-	s.store.Put(platform.KindEvacuations, string(d.server.zone), "{}")
-	sleep(ctx, d.duration)
-	s.store.Remove(platform.KindEvacuations, string(d.server.zone))
+func evacuateZone(ctx context.Context, s *soak, p faultParams) {
+	s.logFault("zone %s evacuated for %v", p.server.zone, p.duration)
+	s.store.Put(platform.KindEvacuations, string(p.server.zone), "{}")
+	sleep(ctx, p.duration)
+	s.store.Remove(platform.KindEvacuations, string(p.server.zone))
 }
 
 // random returns a random number for the servers' faults. It is safe for concurrent
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -82,8 +82,9 @@
 		// Requests is the number of requests sent, Served the number of those
 		// that were served.
 		Requests, Served int
-		// Recovered is the fraction of requests served after the last fault and
-		// the recovery time of 5 s, without version probes.
+		// Recovered is the fraction that was served of the requests sent later
+		// than the recovery time of 5 s after the last fault, without version
+		// probes.
 		Recovered float64
 		// Faults lists the injected faults, in order.
 		Faults []string
