--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -36,7 +36,7 @@
 
 func (noSink) Remove(time.Time, string) {}
 
-func (noSink) Resumed(time.Time, time.Duration) {}
+func (noSink) StoreRecovered(time.Time, time.Duration) {}
 
 // unavailableGroup follows all kinds at a store that is unavailable.
 func unavailableGroup() follow.Group {
@@ -73,7 +73,7 @@
 	}
 	group[follow.Servers].Bootstrap(6, func() {
 		first.Roster.Replace(now, servers)
-		first.ServersListed()
+		first.MarkServersListed()
 	})
 	first.Heartbeats.AddPeer(second.Self().Zone, second.Self().Peers)
 	for _, n := range []*node.Node{first, second} {
