--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,9 +52,9 @@
 		// Latency is the time to the first byte of the response, 0 if there
 		// was none.
 		Latency time.Duration
-		// RunningUntil is the latest time until which the backend server may still
-		// run the request; the zero time if it no longer does. The slot stays
-		// in use until then.
+		// RunningUntil is the latest time until which the backend server may
+		// still run the request; the zero time if it no longer does. The slot
+		// stays in use until then.
 		RunningUntil time.Time
 	}
 
--- a/internal/admission/local/admitter.go
+++ b/internal/admission/local/admitter.go
@@ -48,7 +48,7 @@
 }
 
 func (a *Admitter) set(key pool.Key, s *service.Server) {
-	g := a.Pool.Set(key)
+	g := a.Pool.EnsureGate(key)
 	g.SetLimit(min(
 		split.Share(s.Name, s.Slots, a.Entries, a.Index),
 		split.Share(s.Name, s.Connections, a.Entries, a.Index),
--- a/internal/admission/pool/bench_test.go
+++ b/internal/admission/pool/bench_test.go
@@ -40,7 +40,7 @@
 	p := new(pool.Pool)
 	for i := range file.Servers {
 		order = append(order, &file.Servers[i])
-		g := p.Set(pool.Key{Service: file.Service, Server: file.Servers[i].Name})
+		g := p.EnsureGate(pool.Key{Service: file.Service, Server: file.Servers[i].Name})
 		g.SetLimit(600)
 		g.SetEnd(gate.Forever)
 	}
--- a/internal/admission/pool/pool.go
+++ b/internal/admission/pool/pool.go
@@ -66,8 +66,8 @@
 	return t.Sub(p.start)
 }
 
-// Set returns the gate of a server, creating it if there is none.
-func (p *Pool) Set(key Key) *gate.Gate {
+// EnsureGate returns the gate of a server, creating it if there is none.
+func (p *Pool) EnsureGate(key Key) *gate.Gate {
 	if g := p.Gate(key); g != nil {
 		return g
 	}
@@ -128,14 +128,16 @@
 		return nil, &admission.RefusedError{Code: result.NoServer, RetryAfter: minRetryAfter}
 	}
 	if q.waiting.Load() == 0 {
-		if s, g := p.take(req, servers, p.At(now)); s != nil {
+		if s, g := p.acquire(req, servers, p.At(now)); s != nil {
 			return &permit{pool: p, queue: q, gate: g, server: s, acquired: now}, nil
 		}
 	}
 	return p.wait(ctx, req, q, servers)
 }
 
-func (p *Pool) take(req *admission.Request, servers []*service.Server, now time.Duration) (*service.Server, *gate.Gate) {
+// acquire acquires a slot of the first usable server that has a free one. It
+// returns nil if there is none.
+func (p *Pool) acquire(req *admission.Request, servers []*service.Server, now time.Duration) (*service.Server, *gate.Gate) {
 	t := p.table.Load()
 	for _, s := range servers {
 		if !usable(s, req.Tried) {
@@ -149,6 +151,9 @@
 	return nil, nil
 }
 
+// wait queues a request until it gets a slot or ctx is done, or until the time
+// left before its deadline is shorter than the mean time for which slots are
+// held.
 func (p *Pool) wait(ctx context.Context, req *admission.Request, q *queue, servers []*service.Server) (admission.Permit, error) {
 	limit := req.Deadline.Add(-q.meanHoldTime())
 	if wait, ok := p.estimateWait(req, q, servers); !ok || time.Now().Add(wait).After(limit) {
@@ -176,7 +181,8 @@
 }
 
 // estimateWait estimates how long a request has to wait for a slot. It returns
-// false if no server that may run the request has slots.
+// false if no server that may run the request has slots, and none can be
+// requested.
 func (p *Pool) estimateWait(req *admission.Request, q *queue, servers []*service.Server) (time.Duration, bool) {
 	limit, candidates := 0, 0
 	for _, s := range servers {
@@ -189,7 +195,7 @@
 			candidates++
 		}
 	}
-	if p.OnWait != nil {
+	if p.OnWait != nil { // at least one slot per candidate can be requested
 		limit = max(limit, candidates)
 	}
 	if limit == 0 {
--- a/internal/admission/pool/pool_test.go
+++ b/internal/admission/pool/pool_test.go
@@ -23,7 +23,7 @@
 	for i := range servers {
 		name := id.Server(fmt.Sprintf("s-%d", i))
 		f.Servers = append(f.Servers, service.Server{Name: name})
-		g := p.Set(pool.Key{Service: "registry", Server: name})
+		g := p.EnsureGate(pool.Key{Service: "registry", Server: name})
 		g.SetLimit(1)
 		g.SetEnd(gate.Forever)
 	}
--- a/internal/admission/pool/queue.go
+++ b/internal/admission/pool/queue.go
@@ -16,8 +16,8 @@
 	// queue is the queue of the requests of one service that wait for a slot.
 	queue struct {
 		waiting atomic.Int32
-		// Every request reads waiting and writes meanHold. The padding keeps them
-		// on different cache lines.
+		// Every request reads waiting and writes meanHold. The padding keeps
+		// them on different cache lines.
 		_        [cacheLine]byte
 		meanHold atomic.Int64
 		_        [cacheLine]byte
@@ -52,7 +52,7 @@
 	}
 	q.waiters = append(q.waiters, w)
 	q.waiting.Add(1)
-	if s, g := p.take(w.req, w.servers, p.Now()); s != nil {
+	if s, g := p.acquire(w.req, w.servers, p.Now()); s != nil {
 		q.remove(len(q.waiters) - 1)
 		w.ready <- &permit{pool: p, queue: q, gate: g, server: s, acquired: time.Now()}
 	}
--- a/internal/admission/shared/admitter.go
+++ b/internal/admission/shared/admitter.go
@@ -40,8 +40,9 @@
 		// Confirmed returns the term of a bucket according to the last
 		// successful read of the store, and the time at which that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Time, bool)
-		// RequestTerm requests a new term for a bucket whose home is this entry. It
-		// doesn't wait; Authority returns the new term once it is in the store.
+		// RequestTerm requests a new term for a bucket whose home is this
+		// entry. It doesn't wait; Authority returns the new term once it is in
+		// the store.
 		RequestTerm(wire.Bucket)
 	}
 
@@ -93,7 +94,7 @@
 	defer a.mu.Unlock()
 	a.setDefaults()
 	a.node.Configure(node.Plan(files, a.Entries, a.Margin), a.Pool.Now())
-	a.closeGates(files)
+	a.setGates(files)
 	a.wakeRun()
 }
 
@@ -112,9 +113,9 @@
 	a.wakeRun()
 }
 
-// UnusedReturned reports, after Leave, whether all slots that aren't in use have been
-// returned. The leases of the buckets may and should then be released: the next
-// home entries are informed of every slot.
+// UnusedReturned reports, after Leave, whether all slots that aren't in use have
+// been returned. The leases of the buckets may and should then be released: the
+// next home entries are informed of every slot.
 func (a *Admitter) UnusedReturned() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -132,8 +133,8 @@
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for {
-		for _, s := range a.step() {
-			calls.Go(func() { a.exchange(ctx, s) })
+		for _, msg := range a.step() {
+			calls.Go(func() { a.exchange(ctx, msg) })
 		}
 		select {
 		case <-ctx.Done():
@@ -163,13 +164,16 @@
 	a.node = node.Node{
 		Self: a.Self, Homes: poolClock{a}, Distance: a.Distance, Waiting: a.Pool.Waiting,
 		Lifetime: a.Lifetime, Renew: a.Renew, Demand: a.Demand,
-		Gate:  func(svc id.Service, s id.Server) *gate.Gate { return a.Pool.Set(pool.Key{Service: svc, Server: s}) },
+		Gate: func(svc id.Service, s id.Server) *gate.Gate {
+			return a.Pool.EnsureGate(pool.Key{Service: svc, Server: s})
+		},
 		Offer: func(svc id.Service, s id.Server) { a.Pool.Offer(pool.Key{Service: svc, Server: s}) },
 	}
 }
 
-// closeGates closes the gates of servers that are leaving or no longer configured.
-func (a *Admitter) closeGates(files []*service.File) {
+// setGates closes the gates of servers that are leaving or no longer configured,
+// and opens the others.
+func (a *Admitter) setGates(files []*service.File) {
 	open := map[pool.Key]bool{}
 	for _, f := range files {
 		for i := range f.Servers {
@@ -179,11 +183,11 @@
 	}
 	for key := range a.open {
 		if !open[key] {
-			a.Pool.Set(key).SetClosed(true)
+			a.Pool.EnsureGate(key).SetClosed(true)
 		}
 	}
 	for key, ok := range open {
-		a.Pool.Set(key).SetClosed(!ok)
+		a.Pool.EnsureGate(key).SetClosed(!ok)
 	}
 	a.open = open
 }
--- a/internal/admission/shared/admitter_test.go
+++ b/internal/admission/shared/admitter_test.go
@@ -28,8 +28,8 @@
 )
 
 type (
-	// world simulates entries, the store with the home entries, and a network.
-	world struct {
+	// fleet simulates entries, the store with the home entries, and a network.
+	fleet struct {
 		mu      sync.Mutex
 		names   []id.Instance
 		entries map[id.Instance]*entry
@@ -45,7 +45,7 @@
 
 	entry struct {
 		*shared.Admitter
-		world *world
+		fleet *fleet
 		name  id.Instance
 		stop  context.CancelFunc
 		cut   bool
@@ -53,8 +53,8 @@
 	}
 )
 
-func newWorld(t *testing.T, loss float64) *world {
-	w := &world{
+func newFleet(t *testing.T, loss float64) *fleet {
+	f := &fleet{
 		entries: map[id.Instance]*entry{}, terms: map[wire.Bucket]id.Term{}, homes: map[wire.Bucket]id.Instance{},
 		running: map[id.Server]int{}, rng: rand.New(rand.NewPCG(1, 2)), loss: loss,
 		names: []id.Instance{"e-1", "e-2", "e-3"},
@@ -68,19 +68,19 @@
 			},
 		},
 	}
-	w.setHome("z-1", "e-1")
-	w.setHome("z-2", "e-2")
-	for _, name := range w.names {
-		w.start(t, name)
+	f.setHome("z-1", "e-1")
+	f.setHome("z-2", "e-2")
+	for _, name := range f.names {
+		f.start(t, name)
 	}
-	return w
+	return f
 }
 
-func (w *world) start(t *testing.T, name id.Instance) {
-	e := &entry{world: w, name: name}
+func (f *fleet) start(t *testing.T, name id.Instance) {
+	e := &entry{fleet: f, name: name}
 	e.Admitter = &shared.Admitter{
 		Self:   peer.Sender{Instance: name, Incarnation: id.Incarnation(time.Now().UnixNano())},
-		Caller: e, Homes: e, Entries: len(w.names),
+		Caller: e, Homes: e, Entries: len(f.names),
 	}
 	e.Pool.MaxWaiting = 100
 	e.Pool.Order = func(req *admission.Request) []*service.Server {
@@ -90,19 +90,19 @@
 		}
 		return order
 	}
-	e.Configure([]*service.File{w.file})
-	w.mu.Lock()
-	w.entries[name] = e
-	w.mu.Unlock()
+	e.Configure([]*service.File{f.file})
+	f.mu.Lock()
+	f.entries[name] = e
+	f.mu.Unlock()
 	ctx, stop := context.WithCancel(t.Context())
 	e.stop = stop
 	go e.Run(ctx)
 }
 
-func (w *world) setHome(zone id.Zone, name id.Instance) {
+func (f *fleet) setHome(zone id.Zone, name id.Instance) {
 	key := wire.Bucket{Service: "registry", Zone: zone}
-	w.terms[key]++
-	w.homes[key] = name
+	f.terms[key]++
+	f.homes[key] = name
 }
 
 // Call delivers a message to another entry and returns its response.
@@ -112,11 +112,11 @@
 	if err != nil {
 		return err
 	}
-	e.world.mu.Lock()
-	other := e.world.entries[to]
-	lost, lostAnswer := e.world.rng.Float64() < e.world.loss, e.world.rng.Float64() < e.world.loss
+	e.fleet.mu.Lock()
+	other := e.fleet.entries[to]
+	lost, lostAnswer := e.fleet.rng.Float64() < e.fleet.loss, e.fleet.rng.Float64() < e.fleet.loss
 	cut := e.cut || e.dead || other.cut || other.dead
-	e.world.mu.Unlock()
+	e.fleet.mu.Unlock()
 	if lost || cut {
 		<-ctx.Done()
 		return eris.New("no answer")
@@ -137,56 +137,56 @@
 }
 
 func (e *entry) Home(b wire.Bucket) (id.Instance, id.Term, bool) {
-	e.world.mu.Lock()
-	defer e.world.mu.Unlock()
-	return e.world.homes[b], e.world.terms[b], b.Zone != e.world.vacant
+	e.fleet.mu.Lock()
+	defer e.fleet.mu.Unlock()
+	return e.fleet.homes[b], e.fleet.terms[b], b.Zone != e.fleet.vacant
 }
 
 func (e *entry) Authority(b wire.Bucket) (id.Term, time.Time, bool) {
-	e.world.mu.Lock()
-	defer e.world.mu.Unlock()
-	return e.world.terms[b], time.Now().Add(leaseFor), e.world.homes[b] == e.name
+	e.fleet.mu.Lock()
+	defer e.fleet.mu.Unlock()
+	return e.fleet.terms[b], time.Now().Add(leaseFor), e.fleet.homes[b] == e.name
 }
 
 func (e *entry) Confirmed(wire.Bucket) (id.Term, time.Time, bool) { return 0, time.Time{}, false }
 
 func (e *entry) RequestTerm(b wire.Bucket) {
-	e.world.mu.Lock()
-	defer e.world.mu.Unlock()
-	e.world.terms[b]++
+	e.fleet.mu.Lock()
+	defer e.fleet.mu.Unlock()
+	e.fleet.terms[b]++
 }
 
 // admit acquires a slot and counts it as running until done is called.
 func (e *entry) admit(within time.Duration) (done func(), err error) {
-	req := &admission.Request{Service: e.world.file, Class: &e.world.file.Classes[0], Deadline: time.Now().Add(within)}
+	req := &admission.Request{Service: e.fleet.file, Class: &e.fleet.file.Classes[0], Deadline: time.Now().Add(within)}
 	p, err := e.Admit(context.Background(), req)
 	if err != nil {
 		return nil, err
 	}
-	name, w := p.Server().Name, e.world
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.running[name]++
-	if w.running[name] > p.Server().Slots {
-		w.over++
+	name, f := p.Server().Name, e.fleet
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.running[name]++
+	if f.running[name] > p.Server().Slots {
+		f.over++
 	}
 	return func() {
-		w.mu.Lock()
-		w.running[name]--
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.running[name]--
+		f.mu.Unlock()
 		p.Release(admission.Outcome{})
 	}, nil
 }
 
 func (e *entry) kill() {
-	e.world.mu.Lock()
+	e.fleet.mu.Lock()
 	e.dead = true
-	e.world.mu.Unlock()
+	e.fleet.mu.Unlock()
 	e.stop()
 }
 
-func (w *world) stop() {
-	for _, e := range w.entries {
+func (f *fleet) stop() {
+	for _, e := range f.entries {
 		e.stop()
 	}
 	time.Sleep(time.Minute)
@@ -197,23 +197,23 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, loss)
-				defer w.stop()
+				f := newFleet(t, loss)
+				defer f.stop()
 				var all []func()
-				for _, at := range w.names {
+				for _, at := range f.names {
 					for range 9 {
-						done, err := w.entries[at].admit(time.Minute)
+						done, err := f.entries[at].admit(time.Minute)
 						is.NoErr(err)
 						all = append(all, done)
 					}
-					_, err := w.entries[at].admit(time.Second)
+					_, err := f.entries[at].admit(time.Second)
 					is.True(err != nil) // all 9 slots are in use
 					for _, done := range all {
 						done()
 					}
 					all = nil
 				}
-				is.Equal(w.over, 0)
+				is.Equal(f.over, 0)
 			})
 		})
 	}
@@ -229,21 +229,21 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 0)
-				defer w.stop()
-				_, err := w.entries["e-3"].admit(time.Minute)
+				f := newFleet(t, 0)
+				defer f.stop()
+				_, err := f.entries["e-3"].admit(time.Minute)
 				is.NoErr(err)
-				_, err = w.entries["e-1"].admit(time.Minute)
+				_, err = f.entries["e-1"].admit(time.Minute)
 				is.NoErr(err)
-				clear(w.running) // requests end when their entry fails
+				clear(f.running) // requests end when their entry fails
 				if tt.holder {
-					w.entries["e-3"].kill()
+					f.entries["e-3"].kill()
 				}
 				if tt.home {
-					w.entries["e-1"].kill()
-					w.mu.Lock()
-					w.setHome("z-1", "e-2")
-					w.mu.Unlock()
+					f.entries["e-1"].kill()
+					f.mu.Lock()
+					f.setHome("z-1", "e-2")
+					f.mu.Unlock()
 				}
 				time.Sleep(10 * time.Second)
 				free := 9
@@ -254,10 +254,10 @@
 					free--
 				}
 				for range free {
-					_, err := w.entries["e-2"].admit(100 * time.Millisecond)
+					_, err := f.entries["e-2"].admit(100 * time.Millisecond)
 					is.NoErr(err)
 				}
-				is.Equal(w.over, 0)
+				is.Equal(f.over, 0)
 			})
 		})
 	}
@@ -266,12 +266,12 @@
 func TestAdmitterServesWhileHomeIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0)
-		defer w.stop()
+		f := newFleet(t, 0)
+		defer f.stop()
 		time.Sleep(time.Second)
-		w.entries["e-1"].kill()
+		f.entries["e-1"].kill()
 		for range 50 {
-			done, err := w.entries["e-3"].admit(time.Second)
+			done, err := f.entries["e-3"].admit(time.Second)
 			is.NoErr(err)
 			time.Sleep(100 * time.Millisecond)
 			done()
@@ -282,38 +282,38 @@
 func TestSlotsAreNeverExceededDespiteLossAndPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0.1)
-		defer w.stop()
+		f := newFleet(t, 0.1)
+		defer f.stop()
 		rng := rand.New(rand.NewPCG(3, 4))
 		served := 0
 		for step := range 3000 {
-			e := w.entries[w.names[rng.IntN(3)]]
+			e := f.entries[f.names[rng.IntN(3)]]
 			hold := time.Duration(rng.IntN(300)) * time.Millisecond
 			go func() {
 				if done, err := e.admit(deadline); err == nil {
 					time.Sleep(hold)
 					done()
-					w.mu.Lock()
+					f.mu.Lock()
 					served++
-					w.mu.Unlock()
+					f.mu.Unlock()
 				}
 			}()
 			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 			switch step {
 			case 500, 1500:
-				w.mu.Lock()
-				w.entries["e-2"].cut = true
-				w.mu.Unlock()
+				f.mu.Lock()
+				f.entries["e-2"].cut = true
+				f.mu.Unlock()
 			case 1000, 2000:
-				w.mu.Lock()
-				w.entries["e-2"].cut = false
-				w.mu.Unlock()
+				f.mu.Lock()
+				f.entries["e-2"].cut = false
+				f.mu.Unlock()
 			}
 		}
 		time.Sleep(deadline)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		is.Equal(w.over, 0)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		is.Equal(f.over, 0)
 		is.True(served > 2400)
 	})
 }
@@ -321,29 +321,29 @@
 func TestLeaveReturnsUnusedSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0)
-		defer w.stop()
+		f := newFleet(t, 0)
+		defer f.stop()
 		time.Sleep(time.Second)
-		done, err := w.entries["e-1"].admit(time.Minute)
+		done, err := f.entries["e-1"].admit(time.Minute)
 		is.NoErr(err)
-		is.True(!w.entries["e-1"].UnusedReturned())
-		w.entries["e-1"].Leave()
+		is.True(!f.entries["e-1"].UnusedReturned())
+		f.entries["e-1"].Leave()
 		time.Sleep(time.Second)
-		is.True(w.entries["e-1"].UnusedReturned())
-		w.mu.Lock()
-		w.setHome("z-1", "e-2")
-		w.mu.Unlock()
+		is.True(f.entries["e-1"].UnusedReturned())
+		f.mu.Lock()
+		f.setHome("z-1", "e-2")
+		f.mu.Unlock()
 		time.Sleep(time.Second) // shorter than the deadline
 		for range 8 {
-			_, err := w.entries["e-3"].admit(200 * time.Millisecond)
+			_, err := f.entries["e-3"].admit(200 * time.Millisecond)
 			is.NoErr(err)
 		}
-		_, err = w.entries["e-3"].admit(200 * time.Millisecond)
+		_, err = f.entries["e-3"].admit(200 * time.Millisecond)
 		is.True(err != nil) // the ninth slot is in use at the leaving entry
 		done()
-		_, err = w.entries["e-3"].admit(time.Second)
+		_, err = f.entries["e-3"].admit(time.Second)
 		is.NoErr(err)
-		is.Equal(w.over, 0)
+		is.Equal(f.over, 0)
 	})
 }
 
@@ -355,20 +355,20 @@
 		t.Run(string(left), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, 0)
-				defer w.stop()
+				f := newFleet(t, 0)
+				defer f.stop()
 				time.Sleep(5 * time.Second)
-				req := &admission.Request{Service: w.file, Class: &w.file.Classes[0]}
-				for _, s := range w.file.Servers {
+				req := &admission.Request{Service: f.file, Class: &f.file.Classes[0]}
+				for _, s := range f.file.Servers {
 					if s.Name != left {
 						req.Tried = append(req.Tried, s.Name)
 					}
 				}
-				for _, name := range w.names {
+				for _, name := range f.names {
 					for range 3 {
 						again := *req
 						again.Deadline = time.Now().Add(deadline)
-						p, err := w.entries[name].Admit(t.Context(), &again)
+						p, err := f.entries[name].Admit(t.Context(), &again)
 						is.NoErr(err)
 						is.Equal(p.Server().Name, left)
 						p.Release(admission.Outcome{})
@@ -385,17 +385,17 @@
 func TestAdmitterServesWhileAnotherBucketHasNoHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0)
-		defer w.stop()
+		f := newFleet(t, 0)
+		defer f.stop()
 		time.Sleep(5 * time.Second)
-		w.mu.Lock()
-		w.vacant = "z-1"
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.vacant = "z-1"
+		f.mu.Unlock()
 		time.Sleep(time.Second)
 		for range 3 { // all slots of z-2
-			_, err := w.entries["e-3"].admit(500 * time.Millisecond)
+			_, err := f.entries["e-3"].admit(500 * time.Millisecond)
 			is.NoErr(err)
 		}
-		is.Equal(w.over, 0)
+		is.Equal(f.over, 0)
 	})
 }
--- a/internal/admission/shared/exchange.go
+++ b/internal/admission/shared/exchange.go
@@ -43,44 +43,44 @@
 }
 
 // exchange sends a message and processes the response.
-func (a *Admitter) exchange(ctx context.Context, s node.Message) {
+func (a *Admitter) exchange(ctx context.Context, msg node.Message) {
 	ctx, cancel := context.WithTimeout(ctx, a.Renew)
 	defer cancel()
 	defer a.wakeRun()
-	if s.Report != nil {
-		a.sendReport(ctx, s)
+	if msg.Report != nil {
+		a.sendReport(ctx, msg)
 		return
 	}
 	for range maxRounds {
 		var r wire.Report
-		if err := a.Caller.Call(ctx, s.To.Instance, wire.MethodGrant, s.Grant, &r); err != nil {
-			a.logFailure(s, err)
+		if err := a.Caller.Call(ctx, msg.To.Instance, wire.MethodGrant, msg.Grant, &r); err != nil {
+			a.logFailure(msg, err)
 			return
 		}
 		a.mu.Lock()
-		next, more := a.node.GrantAnswered(s.To, &r, a.Pool.Now())
+		next, more := a.node.GrantAnswered(msg.To, &r, a.Pool.Now())
 		a.mu.Unlock()
 		a.wakeRun()
 		if !more {
 			return
 		}
-		s = next
+		msg = next
 	}
 }
 
-func (a *Admitter) sendReport(ctx context.Context, s node.Message) {
+func (a *Admitter) sendReport(ctx context.Context, msg node.Message) {
 	answer := new(wire.Grant)
-	if err := a.Caller.Call(ctx, s.To.Instance, wire.MethodReport, s.Report, answer); err != nil {
-		a.logFailure(s, err)
+	if err := a.Caller.Call(ctx, msg.To.Instance, wire.MethodReport, msg.Report, answer); err != nil {
+		a.logFailure(msg, err)
 		answer = nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.node.ReportAnswered(s.Report, answer, a.Pool.Now())
+	a.node.ReportAnswered(msg.Report, answer, a.Pool.Now())
 }
 
-func (a *Admitter) logFailure(s node.Message, err error) {
-	a.Log.Debug("slots message failed", "to", s.To.Instance, "report", s.Report != nil, "error", err)
+func (a *Admitter) logFailure(msg node.Message, err error) {
+	a.Log.Debug("slots message failed", "to", msg.To.Instance, "report", msg.Report != nil, "error", err)
 }
 
 func (a *Admitter) handleReport(_ context.Context, from peer.Sender, params json.RawMessage) (any, error) {
--- a/internal/admission/steered/doc.go
+++ b/internal/admission/steered/doc.go
@@ -16,6 +16,6 @@
 //
 // # Usage
 //
-//	a := &steered.Admitter{Inner: slots, Self: "tbilisi-core", Region: world.Region, Caps: caps, Links: links}
+//	a := &steered.Admitter{Inner: slots, Self: "tbilisi-core", Region: d.Region, Caps: caps, Links: links}
 //	p, err := a.Admit(ctx, req)
 package steered
