--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -54,7 +54,7 @@
 	leaving[0].Server.Leaving = true
 	cold := members(12)
 	cold[0].Ramp = 0
-	lost := members(12)[1:2]
+	withoutHome := members(12)[1:2]
 	tests := map[string]struct {
 		members []placement.Member
 		shares  []float64
@@ -68,7 +68,7 @@
 		"rest of tried zone last":    {members(12), []float64{1, 0, 0}, 0, []id.Server{"s0"}, []id.Server{"s3", "s9", "s6", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
 		"draw selects other region":  {members(6), []float64{0.5, 0.5, 0}, 0xffff_fff0, nil, []id.Server{"s1", "s4", "s0", "s3", "s2", "s5"}},
 		"cold server after warm":     {cold, []float64{1, 0, 0}, 0, nil, []id.Server{"s6", "s3", "s9", "s0", "s1", "s7", "s4", "s10", "s2", "s8", "s5", "s11"}},
-		"home region without server": {lost, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
+		"home region without server": {withoutHome, []float64{1, 0, 0}, 0, nil, []id.Server{"s1"}},
 		"region not allowed":         {append(members(3), placement.Member{Region: "elsewhere", Ramp: 1, Server: &service.Server{Name: "x"}}), []float64{1, 0, 0}, 0, nil, []id.Server{"s0", "s1", "s2"}},
 		"shares are NaN":             {members(3), []float64{math.NaN(), math.NaN(), math.NaN()}, 7, nil, []id.Server{"s0", "s1", "s2"}},
 		"shares are negative":        {members(3), []float64{-1, -1, -1}, 7, nil, []id.Server{"s0", "s1", "s2"}},
