--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -16,7 +16,7 @@
 //
 // # Usage
 //
-//	r := &routing.Router{World: d, Zone: zone, Inner: slots}
+//	r := &routing.Router{Deployment: d, Zone: zone, Inner: slots}
 //	slots.Pool.Order = r.Order
 //	r.Configure(files, now) // on each change of configuration or notices
 //	p, err := r.Admit(ctx, req)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -60,7 +60,7 @@
 	p.slots.released = append(p.slots.released, o.Code)
 }
 
-func world() *deployment.Deployment {
+func testDeployment() *deployment.Deployment {
 	return &deployment.Deployment{
 		Regions: []deployment.Region{{Name: "fyn", Zones: []id.Zone{"fyn-1", "fyn-2"}}, {Name: "jylland", Zones: []id.Zone{"jylland-1"}}},
 		Delays:  deployment.Delays{Zones: unit.Duration(time.Millisecond), Regions: unit.Duration(20 * time.Millisecond)},
@@ -80,7 +80,7 @@
 }
 
 func router() *routing.Router {
-	r := &routing.Router{Deployment: world(), Zone: "fyn-1", Draw: rand.New(rand.NewPCG(1, 2)).Uint64}
+	r := &routing.Router{Deployment: testDeployment(), Zone: "fyn-1", Draw: rand.New(rand.NewPCG(1, 2)).Uint64}
 	r.Configure([]*service.File{file()}, time.Now())
 	return r
 }
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -89,7 +89,7 @@
 	if loads != nil {
 		current = loads(s.file)
 	} else {
-		current = s.reported(now, r)
+		current = s.reportedLoads(now, r)
 	}
 	changed := s.steer.Step(now, current)
 	if changed || !slices.Equal(s.membersAt(now, r), s.members) {
@@ -139,8 +139,8 @@
 	return members
 }
 
-// reported returns the load of each region with enough load reports.
-func (s *routes) reported(now time.Time, r *Router) map[id.Region]measured.Value[float64] {
+// reportedLoads returns the load of each region with enough load reports.
+func (s *routes) reportedLoads(now time.Time, r *Router) map[id.Region]measured.Value[float64] {
 	type sum struct {
 		slots, reported, running int
 		oldest                   time.Duration
@@ -170,8 +170,8 @@
 	return loads
 }
 
-// updateWarmLatency updates the mean latency of the warm servers from the responses
-// since the last step.
+// updateWarmLatency updates the mean latency of the warm servers from the
+// responses since the last step.
 func (s *routes) updateWarmLatency(now time.Time) {
 	var sum time.Duration
 	answers := 0
--- a/internal/routing/server.go
+++ b/internal/routing/server.go
@@ -83,9 +83,9 @@
 	event := health.EventOf(o.Code)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.health.Ejected()
+	wasEjected := s.health.Ejected()
 	s.health.Observe(now, event)
-	if out && !s.health.Ejected() {
+	if wasEjected && !s.health.Ejected() {
 		s.ramp.Start(now)
 	}
 	switch event {
