--- a/internal/slots/gate/gate.go
+++ b/internal/slots/gate/gate.go
@@ -51,8 +51,8 @@
 // Raise adds n slots to the limit.
 func (g *Gate) Raise(n int) { g.state.Add(uint64(n) * oneLimit) }
 
-// Lower reduces the limit by as many as n idle slots and returns by how many. The
-// limit stays at or above the number of slots in use.
+// Lower reduces the limit by up to n idle slots and returns by how many. The limit
+// stays at or above the number of slots in use.
 func (g *Gate) Lower(n int) int {
 	for {
 		old := g.state.Load()
--- a/internal/slots/gate/gate_test.go
+++ b/internal/slots/gate/gate_test.go
@@ -18,12 +18,12 @@
 		closed      bool
 		want        bool
 	}{
-		"free":       {limit: 2, used: 1, end: gate.Forever, want: true},
-		"full":       {limit: 2, used: 2, end: gate.Forever},
-		"none":       {end: gate.Forever},
-		"at the end": {limit: 1, end: 10},
-		"before it":  {limit: 1, end: 11, want: true},
-		"closed":     {limit: 1, end: gate.Forever, closed: true},
+		"free":           {limit: 2, used: 1, end: gate.Forever, want: true},
+		"full":           {limit: 2, used: 2, end: gate.Forever},
+		"no slots":       {end: gate.Forever},
+		"at the end":     {limit: 1, end: 10},
+		"before the end": {limit: 1, end: 11, want: true},
+		"closed":         {limit: 1, end: gate.Forever, closed: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
