--- a/internal/slots/holder/holder.go
+++ b/internal/slots/holder/holder.go
@@ -19,7 +19,7 @@
 	// fields are set before its first use. Its gates are safe for concurrent
 	// use; its methods are not.
 	Holder struct {
-		// Bucket names the servers.
+		// Bucket identifies the servers.
 		Bucket wire.Bucket
 		// Lifetime is how long a grant is valid; it must equal the home's.
 		Lifetime time.Duration
@@ -85,8 +85,8 @@
 	h.names = slices.Sorted(maps.Keys(h.servers))
 }
 
-// SetTerm switches to a later term; an earlier or equal term is ignored. Slots held
-// become the claim; idle slots are dropped if the end has passed.
+// SetTerm switches to a later term; an earlier or equal term is ignored. Slots
+// held become the claim; idle slots are dropped if the end has passed.
 func (h *Holder) SetTerm(term id.Term, now time.Duration) {
 	if term <= h.term {
 		return
--- a/internal/slots/holder/holder_test.go
+++ b/internal/slots/holder/holder_test.go
@@ -99,7 +99,7 @@
 	is.True(!g.Acquire(time.Second))
 }
 
-func TestHolderAdoptClaimsSlotsOfTheOldTerm(t *testing.T) {
+func TestHolderSetTermClaimsSlotsOfTheOldTerm(t *testing.T) {
 	tests := map[string]struct {
 		now      time.Duration
 		accepted int
