--- a/internal/slots/ledger/account.go
+++ b/internal/slots/ledger/account.go
@@ -14,8 +14,8 @@
 		ceiling int
 		// unknown counts slots granted in earlier terms and not claimed since.
 		unknown int
-		// orphaned counts slots held by replaced processes; it is cleared when the
-		// term is raised.
+		// orphaned counts slots held by replaced processes; it is cleared when
+		// the term is raised.
 		orphaned int
 		grants   map[id.Instance]*grant
 	}
--- a/internal/slots/ledger/doc.go
+++ b/internal/slots/ledger/doc.go
@@ -15,19 +15,19 @@
 //
 // A home never reclaims a slot on the basis of its own clock, since a holder
 // that it can't reach may still confirm the home's term in the store. To
-// reclaim the slots of a silent holder, the home raises its own term and calls
-// [Ledger.Begin]. All granted slots are then unknown, as they are after another
-// entry has taken over as home. Slots that holders claim are granted again. The
-// rest becomes free after Lifetime, because a holder may have confirmed the old
-// term until then, plus Longest, because a request admitted at the last moment
-// may run that long.
+// reclaim the slots of an unresponsive holder, the home raises its own term and
+// calls [Ledger.Begin]. All granted slots are then unknown, as they are after
+// another entry has taken over as home. Slots that holders claim are granted
+// again. The rest becomes free after Lifetime, because a holder may have confirmed
+// the old term until then, plus MaxRequestTime, because a request admitted at the
+// last moment may run that long.
 //
 // A Ledger grants nothing once its authority (the lease on the bucket) has
 // expired. It has no clock: now is the time on the entry's monotonic clock.
 //
 // # Usage
 //
-//	l := ledger.Ledger{Bucket: bucket, Lifetime: 2 * time.Second, Longest: file.Longest(), Silence: 2 * time.Second}
+//	l := ledger.Ledger{Bucket: bucket, Lifetime: 2 * time.Second, MaxRequestTime: longest, ReportTimeout: 2 * time.Second}
 //	l.Configure(slots, now)
 //	l.Begin(term, now)
 //	l.SetAuthority(until)
--- a/internal/slots/ledger/ledger.go
+++ b/internal/slots/ledger/ledger.go
@@ -38,17 +38,17 @@
 	// Ledger does the slot accounting of one bucket at its home. Its exported
 	// fields are set before its first use. It is not safe for concurrent use.
 	Ledger struct {
-		// Bucket names the servers.
+		// Bucket identifies the servers.
 		Bucket wire.Bucket
 		// Lifetime is how long a grant is valid after the holder sent the
 		// report that renewed it, or after it began the store read that
 		// confirmed it.
 		Lifetime time.Duration
-		// MaxRequestTime is the longest time that a request may still run after the
-		// moment at which it took its slot.
+		// MaxRequestTime is the maximum time that a request may still run after
+		// the moment at which it took its slot.
 		MaxRequestTime time.Duration
-		// ReportTimeout is the time without a report after which a holder's slots
-		// should be reclaimed.
+		// ReportTimeout is the time without a report after which a holder
+		// counts as unresponsive and its slots should be reclaimed.
 		ReportTimeout time.Duration
 		// Scatter distributes free slots among the holders instead of keeping
 		// them at the home, so that few slots are unknown after the home
@@ -182,8 +182,8 @@
 }
 
 // Reserved returns how many slots are unavailable to all live holders: those
-// granted in earlier terms and not claimed, and those of replaced or silent
-// holders.
+// granted in earlier terms and not claimed, and those of replaced or
+// unresponsive holders.
 func (l *Ledger) Reserved(now time.Duration) int {
 	l.expire(now)
 	sum := 0
@@ -199,7 +199,8 @@
 }
 
 // Tick frees the unknown slots whose grants have expired. It returns true if
-// slots of a silent or replaced holder could be reclaimed by raising the term.
+// slots of an unresponsive or replaced holder could be reclaimed by raising the
+// term.
 func (l *Ledger) Tick(now time.Duration) bool {
 	if !l.mayGrant(now) {
 		return false
--- a/internal/slots/ledger/ledger_test.go
+++ b/internal/slots/ledger/ledger_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	lifetime = 2 * time.Second
-	longest  = 5 * time.Second
-	forever  = time.Hour
+	lifetime       = 2 * time.Second
+	maxRequestTime = 5 * time.Second
+	forever        = time.Hour
 )
 
 func newLedger(term id.Term, slots int) *ledger.Ledger {
-	l := &ledger.Ledger{Bucket: bucket(), Lifetime: lifetime, MaxRequestTime: longest, ReportTimeout: lifetime}
+	l := &ledger.Ledger{Bucket: bucket(), Lifetime: lifetime, MaxRequestTime: maxRequestTime, ReportTimeout: lifetime}
 	l.Configure([]ledger.Slots{{Server: "a", Slots: slots, Ceiling: slots}}, 0)
 	l.Begin(term, 0)
 	l.SetAuthority(forever)
@@ -52,12 +52,12 @@
 	}{
 		"first home grants at once":        {term: 1, want: 9, give: wire.Given{Server: "a", Given: 6}},
 		"new home grants nothing at first": {term: 2, want: 2, give: wire.Given{Server: "a"}},
-		"new home just before expiry":      {term: 2, want: 2, now: lifetime + longest - 1, give: wire.Given{Server: "a"}},
-		"new home after expiry":            {term: 2, want: 2, now: lifetime + longest, give: wire.Given{Server: "a", Given: 2}},
+		"new home just before expiry":      {term: 2, want: 2, now: lifetime + maxRequestTime - 1, give: wire.Given{Server: "a"}},
+		"new home after expiry":            {term: 2, want: 2, now: lifetime + maxRequestTime, give: wire.Given{Server: "a", Given: 2}},
 		"new home accepts a claim":         {term: 2, claim: 4, want: 1, give: wire.Given{Server: "a", Accepted: 4}},
 		"claims stay within the slots":     {term: 2, claim: 9, give: wire.Given{Server: "a", Accepted: 6}},
-		"late claim of free slots":         {term: 2, claim: 4, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4}},
-		"claim and a grant of the rest":    {term: 2, claim: 4, want: 5, now: lifetime + longest, give: wire.Given{Server: "a", Accepted: 4, Given: 2}},
+		"late claim of free slots":         {term: 2, claim: 4, now: lifetime + maxRequestTime, give: wire.Given{Server: "a", Accepted: 4}},
+		"claim and a grant of the rest":    {term: 2, claim: 4, want: 5, now: lifetime + maxRequestTime, give: wire.Given{Server: "a", Accepted: 4, Given: 2}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 	is.Equal(pushes[0].Grant.Servers[0].Given, uint64(2))
 }
 
-func TestLedgerReclaimsSlotsOfASilentHolder(t *testing.T) {
+func TestLedgerReclaimsSlotsOfAnUnresponsiveHolder(t *testing.T) {
 	is := is.New(t)
 	l := newLedger(1, 6)
 	_, err := l.Report(sender("e-1"), report(1, 1, 4, wire.Held{}), 0)
@@ -141,7 +141,7 @@
 	is.Equal(pushes[0].Grant.Term, id.Term(2))
 	g, err := l.Report(sender("e-2"), report(2, 1, 6, wire.Held{}), lifetime)
 	is.Equal(given(t, g, err).Given, uint64(2)) // slots that were free stay free
-	l.Tick(2*lifetime + longest)
+	l.Tick(2*lifetime + maxRequestTime)
 	is.Equal(l.Pushes()[0].Grant.Servers[0].Given, uint64(6))
 }
 
--- a/internal/slots/ledger/model_test.go
+++ b/internal/slots/ledger/model_test.go
@@ -31,17 +31,17 @@
 	// model simulates a few entries, a store and a network. An entry reads its
 	// clock when it begins a task, and may be paused before it executes it.
 	model struct {
-		rng     *rand.Rand
-		longest time.Duration
-		maxStep int
-		scatter bool
-		now     time.Duration
-		term    id.Term
-		home    int
-		expires time.Duration
-		entries [modelEntries]*modelEntry
-		net     []modelMessage
-		running []modelRequest
+		rng            *rand.Rand
+		maxRequestTime time.Duration
+		maxStep        int
+		scatter        bool
+		now            time.Duration
+		term           id.Term
+		home           int
+		expires        time.Duration
+		entries        [modelEntries]*modelEntry
+		net            []modelMessage
+		running        []modelRequest
 	}
 
 	modelEntry struct {
@@ -76,7 +76,7 @@
 
 func newModel(seed uint64) *model {
 	m := &model{home: -1, rng: rand.New(rand.NewPCG(seed, 1))}
-	m.longest = time.Duration(m.between(1, 40)) * time.Millisecond
+	m.maxRequestTime = time.Duration(m.between(1, 40)) * time.Millisecond
 	m.scatter = seed>>scatterBit&1 == 1
 	m.maxStep = m.between(2, 15)
 	for i := range m.entries {
@@ -93,7 +93,7 @@
 	g := e.gate
 	e.holder = &holder.Holder{Bucket: bucket(), Lifetime: modelLifetime, Gate: func(id.Server) *gate.Gate { return g }}
 	e.holder.Configure([]id.Server{modelServer})
-	e.ledger = &ledger.Ledger{Bucket: bucket(), Lifetime: modelLifetime, MaxRequestTime: m.longest, ReportTimeout: modelLifetime}
+	e.ledger = &ledger.Ledger{Bucket: bucket(), Lifetime: modelLifetime, MaxRequestTime: m.maxRequestTime, ReportTimeout: modelLifetime}
 	e.ledger.Scatter = m.scatter
 	e.ledger.Configure([]ledger.Slots{{Server: modelServer, Slots: modelSlots, Ceiling: modelSlots}}, m.clock(e))
 	e.paused = nil
@@ -176,8 +176,8 @@
 	}
 }
 
-// exchange sends an entry's report to the home that it knows of. The answer may
-// be lost or delayed, and the report may be duplicated.
+// exchange sends an entry's report to the home of the entry's current term. The
+// answer may be lost or delayed, and the report may be duplicated.
 func (m *model) exchange() {
 	e, want := m.entry(), m.between(0, 2)
 	if e.paused != nil || e.partitioned || m.home < 0 {
@@ -221,7 +221,7 @@
 
 func (m *model) acquire() {
 	e := m.entry()
-	span := time.Duration(m.between(1, int(m.longest/time.Millisecond))) * time.Millisecond
+	span := time.Duration(m.between(1, int(m.maxRequestTime/time.Millisecond))) * time.Millisecond
 	m.do(e, func(now time.Duration) {
 		if !e.gate.Acquire(now) {
 			return
@@ -251,7 +251,7 @@
 	m.begin(e)
 }
 
-func (m *model) raise() {
+func (m *model) raiseTerm() {
 	if m.home < 0 {
 		return
 	}
@@ -349,7 +349,7 @@
 		do     func()
 	}{
 		{12, m.acquire}, {12, m.exchange}, {6, m.deliver}, {4, m.advance}, {2, m.takeOver},
-		{1, m.raise}, {3, m.renewLease}, {2, m.readStore}, {2, m.finish}, {3, m.resume},
+		{1, m.raiseTerm}, {3, m.renewLease}, {2, m.readStore}, {2, m.finish}, {3, m.resume},
 		{1, m.restart}, {1, m.returnSlot}, {1, m.tick}, {1, m.togglePartition},
 	}
 	var out []func()
--- a/internal/slots/ledger/rebalance.go
+++ b/internal/slots/ledger/rebalance.go
@@ -130,8 +130,8 @@
 	l.updateOwed(changed)
 }
 
-// updateOwed sets which holders owe a slot. While more requests wait than slots are
-// recalled, because no holder is known to have further idle slots, each holder
+// updateOwed sets which holders owe a slot. While more requests wait than slots
+// are recalled, because no holder is known to have further idle slots, each holder
 // without waiting requests owes its next idle slot.
 func (l *Ledger) updateOwed(changed map[id.Instance]bool) {
 	unmet := 0
