--- a/internal/slots/node/bucket.go
+++ b/internal/slots/node/bucket.go
@@ -18,7 +18,8 @@
 	BucketPlan struct {
 		// Slots lists the servers with the slots that the home divides.
 		Slots []ledger.Slots
-		// MaxRequestTime is the longest time that a request may run, margin included.
+		// MaxRequestTime is the maximum time that a request may run, margin
+		// included.
 		MaxRequestTime time.Duration
 	}
 
@@ -45,15 +46,15 @@
 func Plan(files []*service.File, entries int, margin time.Duration) map[wire.Bucket]*BucketPlan {
 	plans := map[wire.Bucket]*BucketPlan{}
 	for _, f := range files {
-		longest := margin
+		maxTime := margin
 		for i := range f.Classes {
-			longest = max(longest, f.Classes[i].Deadline.Std()+margin)
+			maxTime = max(maxTime, f.Classes[i].Deadline.Std()+margin)
 		}
 		for i := range f.Servers {
 			s := &f.Servers[i]
 			key := wire.Bucket{Service: f.Service, Zone: s.Zone}
 			if plans[key] == nil {
-				plans[key] = &BucketPlan{MaxRequestTime: longest}
+				plans[key] = &BucketPlan{MaxRequestTime: maxTime}
 			}
 			n := min(s.Slots, s.Connections)
 			if s.Leaving {
--- a/internal/slots/node/doc.go
+++ b/internal/slots/node/doc.go
@@ -10,7 +10,7 @@
 //
 //	n := node.Node{Self: self, Homes: homes, Gate: gateOf, Offer: offer, Waiting: waiting, Lifetime: 2 * time.Second}
 //	n.Configure(node.Plan(files, entries, margin), now)
-//	for _, send := range n.Step(now) {
-//		// send it, and pass the answer to n.Answered or n.Pushed
+//	for _, msg := range n.Step(now) {
+//		// send msg, and pass the answer to n.ReportAnswered or n.GrantAnswered
 //	}
 package node
--- a/internal/slots/node/node.go
+++ b/internal/slots/node/node.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// waitingRenew is the longest time between two reports while requests wait.
+	// waitingRenew is the maximum time between two reports while requests wait.
 	waitingRenew = 50 * time.Millisecond
 	// reserveGap is the minimum time between two reports while none wait.
 	reserveGap = 20 * time.Millisecond
@@ -25,7 +25,7 @@
 	// askedTTL is how long slots that were asked for count as expected.
 	askedTTL = 100 * time.Millisecond
 
-	// scatterAbove is the request duration above which homes keep no free
+	// scatterAbove is the MaxRequestTime above which homes keep no free
 	// slots: after the failure of a home they would be unusable for that long.
 	scatterAbove = time.Minute
 )
@@ -42,8 +42,8 @@
 		// Confirmed returns the term that the last successful read of the
 		// store showed for a bucket, and when that read began.
 		Confirmed(wire.Bucket) (id.Term, time.Duration, bool)
-		// RequestTerm requests a new term of a bucket that this entry is home of.
-		// Authority returns the new term once it is written to the store.
+		// RequestTerm requests a new term of a bucket that this entry is home
+		// of. Authority returns the new term once it is written to the store.
 		RequestTerm(wire.Bucket)
 	}
 
@@ -80,7 +80,7 @@
 	}
 
 	// Message is a message to another entry: a Report, whose answer is passed to
-	// Answered, or a Grant, whose answer is passed to Pushed.
+	// ReportAnswered, or a Grant, whose answer is passed to GrantAnswered.
 	Message struct {
 		// To is the receiver. Its incarnation is known for a Grant only.
 		To peer.Sender
@@ -118,25 +118,25 @@
 
 // Step updates all buckets and returns the messages to send.
 func (n *Node) Step(now time.Duration) []Message {
-	var sends []Message
+	var messages []Message
 	for _, b := range n.order {
 		b.updateLedger(n, now)
 		b.updateHolder(n, now)
-		sends = append(sends, n.pushes(b, now)...)
+		messages = append(messages, n.pushes(b, now)...)
 	}
 	for first := 0; first < len(n.order); {
 		last := first
 		for last < len(n.order) && n.order[last].key.Service == n.order[first].key.Service {
 			last++
 		}
-		sends = append(sends, n.balance(n.order[first:last], now)...)
+		messages = append(messages, n.balance(n.order[first:last], now)...)
 		first = last
 	}
-	return sends
+	return messages
 }
 
-// ReportAnswered applies the answer to a report that Step returned, nil if there was
-// none.
+// ReportAnswered applies the answer to a report that Step returned, nil if there
+// was none.
 func (n *Node) ReportAnswered(r *wire.Report, grant *wire.Grant, now time.Duration) {
 	b := n.buckets[r.Bucket]
 	if b == nil {
@@ -148,8 +148,8 @@
 	}
 }
 
-// GrantAnswered applies the report that answers a grant. It returns the next grant to the
-// same holder, if that one gives it slots that the holder has not seen.
+// GrantAnswered applies the report that answers a grant. It returns the next grant
+// to the same holder, if that grant gives it slots that it has not seen.
 func (n *Node) GrantAnswered(to peer.Sender, r *wire.Report, now time.Duration) (Message, bool) {
 	grant, err := n.Report(to, r, now)
 	if err != nil || !hasNewSlots(&grant, r) {
@@ -233,7 +233,7 @@
 	}
 	wants := policy.Wants(waiting, views, nil)
 	returns := policy.Returns(waiting, views, nil)
-	var sends []Message
+	var messages []Message
 	for i, b := range buckets {
 		if !views[i].Busy && (!b.keep || n.Leaving) && returns[i] > 0 && b.holder.Return(returns[i]) > 0 {
 			views[i].Due = true
@@ -243,10 +243,10 @@
 			views[i].Due, views[i].Busy = true, b.busy
 		}
 		if (views[i].Due || wants[i] > 0) && !views[i].Busy {
-			sends = append(sends, n.report(b, now, wants[i], waiting)...)
+			messages = append(messages, n.report(b, now, wants[i], waiting)...)
 		}
 	}
-	return sends
+	return messages
 }
 
 // report creates a report to the home, and applies it directly if this entry is
@@ -268,9 +268,9 @@
 	if err != nil {
 		return nil
 	}
-	sends := n.pushes(b, now)
+	messages := n.pushes(b, now)
 	n.applyGrant(b, &grant, now)
-	return sends
+	return messages
 }
 
 // applyGrant applies a grant and returns the slots that it recalls, unless
@@ -290,16 +290,16 @@
 	if b.ledger == nil {
 		return nil
 	}
-	var sends []Message
+	var messages []Message
 	for _, p := range b.ledger.Pushes() {
 		switch {
 		case p.To == n.Self:
 			n.applyGrant(b, &p.Grant, now)
 		case p.To.Instance != n.Self.Instance:
-			sends = append(sends, Message{To: p.To, Grant: &p.Grant})
+			messages = append(messages, Message{To: p.To, Grant: &p.Grant})
 		}
 	}
-	return sends
+	return messages
 }
 
 // hasNewSlots reports whether a grant gives more slots than the holder's report
