--- a/internal/slots/wire/wire.go
+++ b/internal/slots/wire/wire.go
@@ -119,7 +119,7 @@
 func (r *Report) Check() error {
 	switch {
 	case r.Service == "" || r.Zone == "":
-		return eris.New("report names no bucket")
+		return eris.New("report has no service or no zone")
 	case r.Seq == 0:
 		return eris.New("report has no sequence number")
 	case !validCount(r.Want) || !validCount(r.Waiting):
@@ -144,7 +144,7 @@
 func (g *Grant) Check() error {
 	switch {
 	case g.Service == "" || g.Zone == "":
-		return eris.New("grant names no bucket")
+		return eris.New("grant has no service or no zone")
 	case g.Term == 0:
 		return eris.New("grant has no term")
 	case !validCount(g.Recall) || !validCount(g.Owed) || !validCount(g.Spare):
