--- a/internal/ramp/ramp_test.go
+++ b/internal/ramp/ramp_test.go
@@ -20,7 +20,7 @@
 var start = time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 
 func TestStepFactorByInputs(t *testing.T) {
-	const large, small, blind, hold, back = 1.5, 1.2, 1.1, 1.0, 0.7
+	const large, small, minimal, hold, down = 1.5, 1.2, 1.1, 1.0, 0.7
 	at := start.Add(2 * time.Second)
 	fresh := measured.At(baseline, at)
 	report := func(w float64, d time.Duration) measured.Value[float64] { return measured.At(w, at.Add(d)) }
@@ -41,14 +41,14 @@
 		"fast, negative report":        {baseline, false, fresh, report(-1, 0), small},
 		"fast, report above 1":         {baseline, false, fresh, report(100, 0), small},
 		"somewhat slow":                {2 * baseline, false, fresh, report(1, 0), hold},
-		"slow, reported warm":          {5 * baseline, false, fresh, report(1, 0), back},
-		"fast but refused":             {baseline, true, fresh, report(1, 0), back},
-		"warm latency missing":         {baseline, false, measured.Value[time.Duration]{}, report(1, 0), blind},
-		"warm latency stale":           {baseline, false, warm(baseline, -2*time.Minute), report(1, 0), blind},
-		"warm latency in future":       {baseline, false, warm(baseline, time.Minute), report(1, 0), blind},
-		"warm latency negative":        {baseline, false, warm(-baseline, 0), report(1, 0), blind},
-		"warm latency out of range":    {baseline, false, warm(math.MaxInt64, 0), report(1, 0), blind},
-		"refused, no inputs":           {baseline, true, measured.Value[time.Duration]{}, noReport, back},
+		"slow, reported warm":          {5 * baseline, false, fresh, report(1, 0), down},
+		"fast but refused":             {baseline, true, fresh, report(1, 0), down},
+		"warm latency missing":         {baseline, false, measured.Value[time.Duration]{}, report(1, 0), minimal},
+		"warm latency stale":           {baseline, false, warm(baseline, -2*time.Minute), report(1, 0), minimal},
+		"warm latency in future":       {baseline, false, warm(baseline, time.Minute), report(1, 0), minimal},
+		"warm latency negative":        {baseline, false, warm(-baseline, 0), report(1, 0), minimal},
+		"warm latency out of range":    {baseline, false, warm(math.MaxInt64, 0), report(1, 0), minimal},
+		"refused, no inputs":           {baseline, true, measured.Value[time.Duration]{}, noReport, down},
 		"answer latency negative":      {-baseline, false, fresh, report(1, 0), hold}, // ignored, so that there is no step
 	}
 	for name, tt := range tests {
