--- a/internal/link/budget.go
+++ b/internal/link/budget.go
@@ -17,7 +17,8 @@
 	// maxCatchUp is the maximum time for which a body may catch up if Next is
 	// called late.
 	maxCatchUp = 5 * time.Millisecond
-	// maxLead is how far small requests may advance the clock of the bodies.
+	// maxLead is how far ahead of the present small requests may advance a
+	// clock.
 	maxLead = 20 * time.Millisecond
 	// burstFactor is the factor by which the bytes admitted by a clock in one
 	// second may exceed its rate.
@@ -86,8 +87,8 @@
 	return b.advance(&b.bodiesClock, now, size, b.bodyRate(), maxLead)
 }
 
-// MaxSmall returns the largest size that AdmitSmall admits while nothing else is sent.
-// Anything larger must be admitted as a body.
+// MaxSmall returns the largest size that AdmitSmall admits while nothing else is
+// sent. Anything larger must be admitted as a body.
 func (b *Budget) MaxSmall() unit.Bytes {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/link/budget_test.go
+++ b/internal/link/budget_test.go
@@ -73,8 +73,8 @@
 		"negative time":    {10 * unit.MiB, 0.5, 1, -second, false},
 		"share is NaN":     {10 * unit.MiB, math.NaN(), 1, second, false},
 		"negative share":   {10 * unit.MiB, -1, 1, second, false},
-		"share of all":     {10 * unit.MiB, 1, 4 * unit.MiB, second, true},
-		"share over all":   {10 * unit.MiB, 1.1, 1, second, false},
+		"share of 1":       {10 * unit.MiB, 1, 4 * unit.MiB, second, true},
+		"share above 1":    {10 * unit.MiB, 1.1, 1, second, false},
 		"negative rate":    {-1, 0.5, 1, second, false},
 		"rate of one byte": {1, 1, 1, second, false},
 	}
@@ -253,7 +253,7 @@
 		b.SetRate(unit.Bytes(rate), 1)
 		body, _ := b.Admit(1, time.Hour)
 		if body == nil {
-			t.Skip("no room")
+			t.Skip("the rate is too low for a body")
 		}
 		type sent struct {
 			at    time.Duration
