--- a/internal/loads/doc.go
+++ b/internal/loads/doc.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	board.Take("entry-2", now, uses)
-//	load := board.Region("registry", "fyn", slots, alive)
+//	table.Update("entry-2", now, uses)
+//	load := table.Region("registry", "fyn", slots, alive)
 //	share, state := load.Read(now, 5*time.Second)
 package loads
--- a/internal/loads/table.go
+++ b/internal/loads/table.go
@@ -22,8 +22,8 @@
 		Slots int
 	}
 
-	// Table stores the latest report of each entry. The zero Board is empty.
-	// A Board is safe for concurrent use.
+	// Table stores the latest report of each entry. The zero Table is empty.
+	// A Table is safe for concurrent use.
 	Table struct {
 		mu      sync.Mutex
 		entries map[id.Instance]report
@@ -42,33 +42,33 @@
 
 // Update stores the uses that an entry reported at now. Negative numbers, and uses
 // beyond the first 10,000, are ignored.
-func (b *Table) Update(from id.Instance, now time.Time, uses []Use) {
+func (t *Table) Update(from id.Instance, now time.Time, uses []Use) {
 	r := report{at: now, uses: map[key]int{}}
 	for _, u := range uses[:min(len(uses), maxUses)] {
 		if u.Slots > 0 {
 			r.uses[key{u.Service, u.Region}] += u.Slots
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.entries == nil {
-		b.entries = map[id.Instance]report{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.entries == nil {
+		t.entries = map[id.Instance]report{}
 	}
-	b.entries[from] = r
+	t.entries[from] = r
 }
 
 // Region returns the load of a region: the slots that the given entries use, as a
 // share of its slots. The value is missing if one of the entries has not
 // reported yet, or if there are no entries or no slots.
-func (b *Table) Region(service id.Service, region id.Region, slots int, entries []id.Instance) measured.Value[float64] {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Table) Region(service id.Service, region id.Region, slots int, entries []id.Instance) measured.Value[float64] {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var (
 		sum    int
 		oldest time.Time
 	)
 	for _, name := range entries {
-		r, ok := b.entries[name]
+		r, ok := t.entries[name]
 		if !ok {
 			return measured.Value[float64]{}
 		}
--- a/internal/loads/table_test.go
+++ b/internal/loads/table_test.go
@@ -32,11 +32,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b loads.Table
+			var table loads.Table
 			for from, uses := range tt.reports {
-				b.Update(from, now, uses)
+				table.Update(from, now, uses)
 			}
-			got, state := b.Region("registry", "fyn", tt.slots, tt.entries).Read(now, time.Second)
+			got, state := table.Region("registry", "fyn", tt.slots, tt.entries).Read(now, time.Second)
 			is.Equal(got, tt.want)
 			is.Equal(state, tt.state)
 		})
@@ -46,10 +46,10 @@
 func TestRegionHasAgeOfOldestReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
-	var b loads.Table
-	b.Update("a", now.Add(-10*time.Second), nil)
-	b.Update("b", now, nil)
-	age, ok := b.Region("registry", "fyn", 10, []id.Instance{"a", "b"}).Age(now)
+	var table loads.Table
+	table.Update("a", now.Add(-10*time.Second), nil)
+	table.Update("b", now, nil)
+	age, ok := table.Region("registry", "fyn", 10, []id.Instance{"a", "b"}).Age(now)
 	is.True(ok)
 	is.Equal(age, 10*time.Second)
 }
--- a/internal/loads/uses_test.go
+++ b/internal/loads/uses_test.go
@@ -21,7 +21,7 @@
 	is.NoErr(err)
 	is.Equal(string(data), `{"registry":{"fyn":15,"jylland":4}}`)
 
-	// A board computes the same loads from the original and the decoded uses.
+	// A Table computes the same loads from the original and the decoded uses.
 	var decodedUses loads.Uses
 	is.NoErr(json.Unmarshal(data, &decodedUses))
 	now := time.Now()
