--- a/internal/shift/gate.go
+++ b/internal/shift/gate.go
@@ -82,11 +82,11 @@
 // Admit counts one request toward the region, or refuses it and returns the time
 // after which the gate may admit more.
 func (g *Gate) Admit(now time.Time) (ok bool, retryAfter time.Duration) {
-	h, _ := g.startStripes.Get().(*startStripe)
-	defer g.startStripes.Put(h)
+	first, _ := g.startStripes.Get().(*startStripe)
+	defer g.startStripes.Put(first)
 	for {
 		b := g.at(now)
-		ok, again := b.take(h.stripe)
+		ok, again := b.tryAdmit(first.stripe)
 		switch {
 		case again:
 			continue
@@ -176,9 +176,9 @@
 	return b
 }
 
-// take takes one admission, preferably from the given stripe. If again is set, the
-// bucket has ended and the caller must retry with the current one.
-func (b *bucket) take(first uint32) (ok, again bool) {
+// tryAdmit admits one request, preferably from the given stripe. If again is set,
+// the bucket has ended and the caller must retry with the current one.
+func (b *bucket) tryAdmit(first uint32) (ok, again bool) {
 	if b.exhausted.Load() {
 		return false, false
 	}
--- a/internal/shift/gate_test.go
+++ b/internal/shift/gate_test.go
@@ -107,9 +107,9 @@
 	is.Equal(admitted.Load(), int64(limit))
 }
 
-// world simulates entries with their gates, one plan, and messages between them
+// model simulates entries with their gates, one plan, and messages between them
 // that are lost, delayed, duplicated and reordered.
-type world struct {
+type model struct {
 	t        *rapid.T
 	now      time.Time
 	rise     unit.Rate
@@ -136,69 +136,69 @@
 	grant share.Grant
 }
 
-func newWorld(t *rapid.T) *world {
+func newModel(t *rapid.T) *model {
 	n := rapid.IntRange(1, 5).Draw(t, "entries")
-	w := &world{t: t, now: start, rise: unit.Rate(rapid.IntRange(1, 40).Draw(t, "rise"))}
-	w.plan = share.NewPlan(n, start.Add(-time.Minute))
+	m := &model{t: t, now: start, rise: unit.Rate(rapid.IntRange(1, 40).Draw(t, "rise"))}
+	m.plan = share.NewPlan(n, start.Add(-time.Minute))
 	for i := range n {
 		e := &entry{who: share.Holder{Instance: id.Instance(rune('a' + i)), Incarnation: 1}, demand: i}
-		e.gate = shift.NewGate(window, w.rate(share.Floor(n)), start, start.Add(-3*window))
-		w.entries = append(w.entries, e)
+		e.gate = shift.NewGate(window, m.rate(share.Floor(n)), start, start.Add(-3*window))
+		m.entries = append(m.entries, e)
 	}
-	return w
+	return m
 }
 
-func (w *world) step() {
-	i := rapid.IntRange(0, len(w.entries)-1).Draw(w.t, "entry")
-	e := w.entries[i]
-	switch rapid.IntRange(0, 9).Draw(w.t, "event") {
+func (m *model) step() {
+	i := rapid.IntRange(0, len(m.entries)-1).Draw(m.t, "entry")
+	e := m.entries[i]
+	switch rapid.IntRange(0, 9).Draw(m.t, "event") {
 	case 0, 1, 2: // the entry sends a request for its share
 		if e.died.IsZero() {
 			e.number++
-			e.sent = w.now
-			w.requests = append(w.requests, share.Request{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(w.now) / w.rise), Demand: float64(e.demand)})
+			e.sent = m.now
+			m.requests = append(m.requests, share.Request{Holder: e.who, Number: e.number, Held: float64(e.gate.Share(m.now) / m.rise), Demand: float64(e.demand)})
 		}
 	case 3, 4: // any pending request arrives at the plan
-		if k := len(w.requests); k > 0 {
-			at := rapid.IntRange(0, k-1).Draw(w.t, "request")
-			req := w.requests[at]
-			if rapid.Bool().Draw(w.t, "kept") { // otherwise it is duplicated
-				w.requests = append(w.requests[:at], w.requests[at+1:]...)
+		if k := len(m.requests); k > 0 {
+			at := rapid.IntRange(0, k-1).Draw(m.t, "request")
+			req := m.requests[at]
+			if rapid.Bool().Draw(m.t, "kept") { // otherwise it is duplicated
+				m.requests = append(m.requests[:at], m.requests[at+1:]...)
 			}
-			if grant, ok := w.plan.Answer(w.now, req); ok {
-				w.answers = append(w.answers, answer{w.find(req.Holder.Instance), req.Holder, grant})
+			if grant, ok := m.plan.Answer(m.now, req); ok {
+				m.answers = append(m.answers, answer{m.find(req.Holder.Instance), req.Holder, grant})
 			}
 		}
 	case 5, 6: // any pending response arrives at its entry
-		if k := len(w.answers); k > 0 {
-			at := rapid.IntRange(0, k-1).Draw(w.t, "answer")
-			a := w.answers[at]
-			w.answers = append(w.answers[:at], w.answers[at+1:]...)
-			to := w.entries[a.to]
+		if k := len(m.answers); k > 0 {
+			at := rapid.IntRange(0, k-1).Draw(m.t, "answer")
+			a := m.answers[at]
+			m.answers = append(m.answers[:at], m.answers[at+1:]...)
+			to := m.entries[a.to]
 			if to.who == a.who && a.grant.Number == to.number && to.died.IsZero() {
-				to.gate.Grant(w.now, w.rate(a.grant.Share), to.sent.Add(share.GrantTime))
+				to.gate.Grant(m.now, m.rate(a.grant.Share), to.sent.Add(share.GrantTime))
 			}
 		}
 	case 7: // the entry stops, or a new process replaces it
 		if e.died.IsZero() {
-			e.died = w.now
+			e.died = m.now
 		} else {
 			e.who.Incarnation++
-			e.gate = shift.NewGate(window, w.rate(share.Floor(len(w.entries))), w.now, e.died)
+			e.gate = shift.NewGate(window, m.rate(share.Floor(len(m.entries))), m.now, e.died)
 			e.number, e.died = 0, time.Time{}
 		}
 	case 8: // another region fails and its callers use this one
-		e.demand += rapid.IntRange(0, 90).Draw(w.t, "more")
+		e.demand += rapid.IntRange(0, 90).Draw(m.t, "more")
 	case 9: // demand changes and the process pauses
-		e.demand = rapid.IntRange(0, 90).Draw(w.t, "less")
-		e.paused = w.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(w.t, "pause")) * time.Second)
+		e.demand = rapid.IntRange(0, 90).Draw(m.t, "less")
+		e.paused = m.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(m.t, "pause")) * time.Second)
 	}
 }
 
-func (w *world) rate(share float64) unit.Rate { return unit.Rate(share) * w.rise }
+func (m *model) rate(share float64) unit.Rate { return unit.Rate(share) * m.rise }
 
-func (w *world) find(name id.Instance) int {
-	for i, e := range w.entries {
+func (m *model) find(name id.Instance) int {
+	for i, e := range m.entries {
 		if e.who.Instance == name {
 			return i
 		}
@@ -208,16 +208,16 @@
 
 // run advances the time while callers send requests, including callers with a
 // cached lookup that continue to send to a region at its cap.
-func (w *world) run() {
-	for range rapid.IntRange(1, 12).Draw(w.t, "ticks") {
-		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(w.t, "ms")) * time.Millisecond)
-		for _, e := range w.entries {
-			if !e.died.IsZero() || w.now.Before(e.paused) {
+func (m *model) run() {
+	for range rapid.IntRange(1, 12).Draw(m.t, "ticks") {
+		m.now = m.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(m.t, "ms")) * time.Millisecond)
+		for _, e := range m.entries {
+			if !e.died.IsZero() || m.now.Before(e.paused) {
 				continue
 			}
 			for range e.demand {
-				if ok, _ := e.gate.Admit(w.now); ok {
-					w.admitted = append(w.admitted, w.now.Sub(start))
+				if ok, _ := e.gate.Admit(m.now); ok {
+					m.admitted = append(m.admitted, m.now.Sub(start))
 				}
 			}
 		}
@@ -226,31 +226,31 @@
 
 // checkShares checks that the sum of the active shares, including those of paused
 // entries, is within the rise.
-func (w *world) checkShares() {
+func (m *model) checkShares() {
 	sum := unit.Rate(0)
-	for _, e := range w.entries {
+	for _, e := range m.entries {
 		if e.died.IsZero() {
-			sum += e.gate.Share(w.now)
+			sum += e.gate.Share(m.now)
 		}
 	}
-	if sum > w.rise+1e-9 {
-		w.t.Fatalf("active shares sum to %v, rise %v", sum, w.rise)
+	if sum > m.rise+1e-9 {
+		m.t.Fatalf("active shares sum to %v, rise %v", sum, m.rise)
 	}
 }
 
 // check checks the cap for every window that starts or ends at an admission.
-func (w *world) check() {
-	times := w.admitted
+func (m *model) check() {
+	times := m.admitted
 	count := func(from, to time.Duration) int { // (from, to]
 		return sort.Search(len(times), func(i int) bool { return times[i] > to }) -
 			sort.Search(len(times), func(i int) bool { return times[i] > from })
 	}
-	limit := float64(w.rise) * window.Seconds()
+	limit := float64(m.rise) * window.Seconds()
 	for _, at := range times {
 		for _, t := range []time.Duration{at - 1, at, at - window, at - window - 1, at + window} {
 			after, before := count(t, t+window), count(t-window, t)
 			if float64(after) > float64(before)+limit+1e-6 {
-				w.t.Fatalf("window from %s: %d admitted, %d in the window before, cap %.0f", t, after, before, limit)
+				m.t.Fatalf("window from %s: %d admitted, %d in the window before, cap %.0f", t, after, before, limit)
 			}
 		}
 	}
@@ -258,16 +258,16 @@
 
 func TestCapHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		m := newModel(t)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
-			w.step()
-			w.run()
-			if bound := w.plan.Bound(w.now); bound > 1+1e-9 {
+			m.step()
+			m.run()
+			if bound := m.plan.Bound(m.now); bound > 1+1e-9 {
 				t.Fatalf("shares sum to %v", bound)
 			}
-			w.checkShares()
+			m.checkShares()
 		}
-		w.check()
+		m.check()
 	})
 }
 
@@ -328,6 +328,7 @@
 	is.Equal(g.Share(at), unit.Rate(5))
 	is.Equal(admitAll(g, at), 5) // 20 in total
 }
+
 func admitAll(g *shift.Gate, now time.Time) int {
 	n := 0
 	for {
