--- a/internal/share/plan.go
+++ b/internal/share/plan.go
@@ -41,8 +41,8 @@
 		Number uint64 `json:"number"`
 		// Held is the share that is active at the entry, 0 to 1.
 		Held float64 `json:"held"`
-		// Demand is the rate that the entry recently lacked, in a unit that is
-		// the same for all entries.
+		// Demand is the rate that the entry recently needed but did not have,
+		// in a unit that is the same for all entries.
 		Demand float64 `json:"demand"`
 	}
 
@@ -135,17 +135,17 @@
 // and the part of the remainder that no other holder may hold. For the zero
 // Holder it returns only that part. Entries that never sent a request keep their
 // floors.
-func (p *Plan) available(except Holder) float64 {
-	moved := 1 - floorPart
+func (p *Plan) available(holder Holder) float64 {
+	remainder := 1 - floorPart
 	for who, h := range p.holders {
-		if who != except {
-			moved -= max(h.bound-p.floor, 0)
+		if who != holder {
+			remainder -= max(h.bound-p.floor, 0)
 		}
 	}
-	if except == (Holder{}) {
-		return max(moved, 0)
+	if holder == (Holder{}) {
+		return max(remainder, 0)
 	}
-	return p.floor + max(moved, 0)
+	return p.floor + max(remainder, 0)
 }
 
 func (p *Plan) expire(now time.Time) {
