--- a/internal/homes/homes_test.go
+++ b/internal/homes/homes_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestChooseMovesOnlyTheLostEntrysBuckets(t *testing.T) {
+func TestChooseMovesOnlyBucketsOfTheRemovedEntry(t *testing.T) {
 	is := is.New(t)
 	var all []homes.Candidate
 	for i := range 20 {
