--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	r := &once.Registry{Instance: "entry-1", Incarnation: 7, Key: key}
-//	ticket := r.Mint(age, "registry")
+//	ticket := r.Issue(age, "registry")
 //	use := r.Begin(age, "registry", ticket, binding)
 //	switch use.State {
 //	case once.Run:
--- a/internal/once/histories_test.go
+++ b/internal/once/histories_test.go
@@ -17,8 +17,8 @@
 	histories = 100_000
 	steps     = 12
 	entries   = 3
-	life      = 10 * time.Second
-	memory    = 30 * time.Second
+	ticketTTL = 10 * time.Second
+	retention = 30 * time.Second
 )
 
 type (
@@ -94,7 +94,7 @@
 func (h *history) start(name id.Instance) *node {
 	h.next++
 	key := []byte(fmt.Sprintf("key of incarnation %d", h.next))
-	return &node{name: name, reg: &once.Registry{Instance: name, Incarnation: h.next, Key: key, TicketTTL: life, Retention: memory, MaxTickets: 4, MaxAnswerBytes: 8}}
+	return &node{name: name, reg: &once.Registry{Instance: name, Incarnation: h.next, Key: key, TicketTTL: ticketTTL, Retention: retention, MaxTickets: 4, MaxAnswerBytes: 8}}
 }
 
 func (h *history) run() {
@@ -118,7 +118,7 @@
 			// The answers to its executions are lost; they may still finish.
 			h.nodes[i] = h.start(n.name)
 		case 11:
-			h.advance(time.Duration(h.rng.Int64N(int64(memory))))
+			h.advance(time.Duration(h.rng.Int64N(int64(retention))))
 		}
 	}
 }
--- a/internal/once/registry.go
+++ b/internal/once/registry.go
@@ -21,8 +21,8 @@
 	// Ended means that the request was executed; Use.Code and Use.Answer are
 	// its outcome.
 	Ended
-	// OtherInstance means that the request has to be forwarded to another instance,
-	// Use.Instance.
+	// OtherInstance means that the request has to be forwarded to another
+	// instance, Use.Instance.
 	OtherInstance
 )
 
@@ -51,7 +51,7 @@
 		Answer *Answer
 		// Done is closed when the running execution has ended.
 		Done <-chan struct{}
-		// Instance is where to forward the request if State is Elsewhere.
+		// Instance is where to forward the request if State is OtherInstance.
 		Instance id.Instance
 
 		number uint64
