--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -63,8 +63,7 @@
 		Started time.Time
 		// Deadline is when it must have ended.
 		Deadline time.Time
-		// Size is the announced size of its body, negative if none is
-		// announced.
+		// Size is the declared size of its body, negative if none is declared.
 		Size unit.Bytes
 	}
 
@@ -85,9 +84,9 @@
 	// Server is the state of one leaving backend server at one entry. It is not
 	// safe for concurrent use.
 	Server struct {
-		noticed time.Time
-		until   time.Time
-		work    map[uint64]*running
+		noticed  time.Time
+		until    time.Time
+		requests map[uint64]*running
 	}
 
 	running struct {
@@ -100,7 +99,7 @@
 // NewServer returns a server that was marked as leaving at the given time. A
 // negative drain time counts as 0.
 func NewServer(noticed time.Time, drainTime time.Duration) *Server {
-	return &Server{noticed: noticed, until: noticed.Add(max(drainTime, 0)), work: make(map[uint64]*running)}
+	return &Server{noticed: noticed, until: noticed.Add(max(drainTime, 0)), requests: make(map[uint64]*running)}
 }
 
 // Noticed returns when the server was marked as leaving.
@@ -110,12 +109,12 @@
 func (s *Server) Until() time.Time { return s.until }
 
 // Begin adds a request that is running on the server.
-func (s *Server) Begin(requestID uint64, r Request) { s.work[requestID] = &running{request: r} }
+func (s *Server) Begin(requestID uint64, r Request) { s.requests[requestID] = &running{request: r} }
 
 // Progress records how many bytes of a request's body have been transferred. A
-// number below an earlier one or above the announced size is ignored.
+// number below an earlier one or above the declared size is ignored.
 func (s *Server) Progress(requestID uint64, sent unit.Bytes, now time.Time) {
-	r := s.work[requestID]
+	r := s.requests[requestID]
 	if r == nil || sent < r.lastSent || (r.request.Size >= 0 && sent > r.request.Size) {
 		return
 	}
@@ -123,12 +122,12 @@
 }
 
 // End removes a request.
-func (s *Server) End(requestID uint64) { delete(s.work, requestID) }
+func (s *Server) End(requestID uint64) { delete(s.requests, requestID) }
 
 // Phase returns the phase of the drain.
 func (s *Server) Phase(now time.Time) Phase {
 	switch {
-	case len(s.work) == 0:
+	case len(s.requests) == 0:
 		return Empty
 	case now.Before(s.until):
 		return Draining
@@ -141,8 +140,8 @@
 // outlast the drain time, then those of unknown outcome, then the rest, each group
 // by id.
 func (s *Server) Forecasts(now time.Time) []Forecast {
-	list := make([]Forecast, 0, len(s.work))
-	for requestID, r := range s.work {
+	list := make([]Forecast, 0, len(s.requests))
+	for requestID, r := range s.requests {
 		outcome, end := r.forecast(now, s.until)
 		list = append(list, Forecast{ID: requestID, Request: r.request, Sent: r.lastSent, Outcome: outcome, End: end})
 	}
--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -30,12 +30,12 @@
 		"half in ten seconds":    {10 * time.Second, time.Hour, 100, 50, 0, drain.Ends, 15 * time.Second},
 		"a hundredth in a min":   {time.Minute, 3 * time.Hour, 100, 1, 0, drain.Outlasts, 99*time.Minute + 5*time.Second},
 		"no deadline, slow":      {time.Minute, 0, 100, 1, 0, drain.Outlasts, 99*time.Minute + 5*time.Second},
-		"size not announced":     {time.Minute, time.Hour, -1, 50, 0, drain.Unknown, 0},
+		"size not declared":      {time.Minute, time.Hour, -1, 50, 0, drain.Unknown, 0},
 		"nothing sent":           {time.Minute, time.Hour, 100, 0, 0, drain.Unknown, 0},
 		"progress missing":       {time.Minute, time.Hour, 100, -1, 0, drain.Unknown, 0},
 		"progress stale":         {2 * time.Minute, time.Hour, 100, 99, time.Minute, drain.Unknown, 0},
 		"progress in the future": {time.Minute, time.Hour, 100, 99, -time.Minute, drain.Unknown, 0},
-		"more than announced":    {time.Minute, time.Hour, 100, 200, 0, drain.Unknown, 0},
+		"more than declared":     {time.Minute, time.Hour, 100, 200, 0, drain.Unknown, 0},
 		"just begun":             {time.Second, time.Hour, 100, 50, 0, drain.Unknown, 0},
 		"over a day left":        {time.Minute, 0, math.MaxInt64, 1, 0, drain.Outlasts, 0},
 		"started in the future":  {-time.Minute, time.Hour, 100, 50, 0, drain.Unknown, 0},
@@ -44,11 +44,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := drain.NewServer(start, drainTime)
-			w := drain.Request{Started: now.Add(-tt.started), Size: tt.size}
+			r := drain.Request{Started: now.Add(-tt.started), Size: tt.size}
 			if tt.deadline > 0 {
-				w.Deadline = now.Add(tt.deadline)
+				r.Deadline = now.Add(tt.deadline)
 			}
-			s.Begin(7, w)
+			s.Begin(7, r)
 			s.Progress(7, tt.sent, now.Add(-tt.sentAt))
 			f := s.Forecasts(now)[0]
 			is.Equal(f.Outcome, tt.want)
