--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Observe receives the version that a peer reports to hold; the id may be absent. It
-// does not block; Run fetches a newer version from the peer.
+// Observe receives the version that a peer reports to hold; the id may be absent.
+// It does not block; Run fetches a newer version from the peer.
 func (k *Keeper) Observe(from id.Instance, ref Ref) {
 	if Compare(k.Current().Ref(), ref) != Newer {
 		return
--- a/internal/config/keeper_test.go
+++ b/internal/config/keeper_test.go
@@ -47,18 +47,18 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	w := &fleet{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
+	f := &fleet{t: t, store: new(platform.Store), net: new(peers.Network), nodes: map[id.Instance]*node{}, beat: time.Second}
 	for i := range entries {
-		w.names = append(w.names, id.Instance(fmt.Sprint("entry-", i)))
+		f.names = append(f.names, id.Instance(fmt.Sprint("entry-", i)))
 	}
-	return w
+	return f
 }
 
-func (w *fleet) start(name id.Instance) *node {
+func (f *fleet) start(name id.Instance) *node {
 	n := &node{at: map[id.Version]time.Time{}}
-	n.node = w.net.Node(peer.Sender{Instance: name, Incarnation: 1})
-	others := slices.DeleteFunc(slices.Clone(w.names), func(o id.Instance) bool { return o == name })
-	n.Keeper = &config.Keeper{Store: &platform.Client{Store: w.store, Name: string(name)}, Caller: n.node,
+	n.node = f.net.Node(peer.Sender{Instance: name, Incarnation: 1})
+	others := slices.DeleteFunc(slices.Clone(f.names), func(o id.Instance) bool { return o == name })
+	n.Keeper = &config.Keeper{Store: &platform.Client{Store: f.store, Name: string(name)}, Caller: n.node,
 		Peers: func() []id.Instance { return slices.Clone(others) }, Log: slog.New(slog.DiscardHandler)}
 	n.OnChange(func(t *config.Table) {
 		n.held = append(n.held, t.Version())
@@ -81,7 +81,7 @@
 			for ctx.Err() == nil {
 				_ = n.node.Call(ctx, to, "beat", n.Current().Ref(), nil)
 				select {
-				case <-time.After(w.beat*4/5 + rand.N(w.beat*2/5)):
+				case <-time.After(f.beat*4/5 + rand.N(f.beat*2/5)):
 				case <-ctx.Done():
 				}
 			}
@@ -91,57 +91,57 @@
 		n.node.Resume()
 		cancel()
 		wg.Wait()
-		w.net.Remove(name)
+		f.net.Remove(name)
 	}
-	w.nodes[name] = n
+	f.nodes[name] = n
 	return n
 }
 
-func (w *fleet) startAll() {
-	for _, name := range w.names {
-		w.start(name)
+func (f *fleet) startAll() {
+	for _, name := range f.names {
+		f.start(name)
 	}
 }
 
-func (w *fleet) stopAll() {
-	for _, n := range w.nodes {
+func (f *fleet) stopAll() {
+	for _, n := range f.nodes {
 		n.stop()
 	}
 }
 
-func (w *fleet) publish(slots int) id.Version {
-	p := &publish.Publisher{Store: w.store, Author: "nino"}
-	f := file("registry", slots)
-	d, out := p.Prepare(w.t.Context(), publish.Submission{Files: f})
+func (f *fleet) publish(slots int) id.Version {
+	p := &publish.Publisher{Store: f.store, Author: "nino"}
+	files := file("registry", slots)
+	d, out := p.Prepare(f.t.Context(), publish.Submission{Files: files})
 	if out != nil {
-		w.t.Fatal(out)
+		f.t.Fatal(out)
 	}
-	if out = p.Submit(w.t.Context(), d); out.Code != result.Accepted {
-		w.t.Fatal(out)
+	if out = p.Submit(f.t.Context(), d); out.Code != result.Accepted {
+		f.t.Fatal(out)
 	}
 	return out.Ticket.Version
 }
 
 // verify checks that no entry's version ever decreased and that all are ready and
 // hold v.
-func (w *fleet) verify(v id.Version) {
-	w.t.Helper()
+func (f *fleet) verify(v id.Version) {
+	f.t.Helper()
 	synctest.Wait()
-	is := is.New(w.t)
-	for name, n := range w.nodes {
+	is := is.New(f.t)
+	for name, n := range f.nodes {
 		is.True(slices.IsSorted(n.held)) // versions never decrease
 		if n.Current().Version() != v || !n.Ready() {
-			w.t.Errorf("%s holds %d, want %d", name, n.Current().Version(), v)
+			f.t.Errorf("%s holds %d, want %d", name, n.Current().Version(), v)
 		}
 	}
 }
 
-func withFleet(t *testing.T, f func(w *fleet)) {
+func withFleet(t *testing.T, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFleet(t)
+		f := newFleet(t)
 		time.Sleep(time.Hour)
-		f(w)
-		w.stopAll()
+		test(f)
+		f.stopAll()
 	})
 }
 
@@ -154,31 +154,31 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			withFleet(t, func(w *fleet) {
-				w.store.SetHook(func(c platform.Call) platform.Fault {
+			withFleet(t, func(f *fleet) {
+				f.store.SetHook(func(c platform.Call) platform.Fault {
 					for i := range test.noStore {
-						if c.From == string(w.names[i]) {
+						if c.From == string(f.names[i]) {
 							return platform.Fault{Down: true}
 						}
 					}
 					return platform.Fault{Delay: unit.Duration(40 * time.Millisecond)}
 				})
-				w.net.SetHook(func(peers.Message) peers.Delivery { return peers.Delivery{Delay: 20 * time.Millisecond} })
-				w.publish(1)
-				w.startAll()
+				f.net.SetHook(func(peers.Message) peers.Delivery { return peers.Delivery{Delay: 20 * time.Millisecond} })
+				f.publish(1)
+				f.startAll()
 				time.Sleep(time.Minute)
 				var last []time.Duration
 				for i := range publications {
-					v := w.publish(i + 2)
+					v := f.publish(i + 2)
 					accepted := time.Now()
 					time.Sleep(time.Duration(5000+i*37) * time.Millisecond)
 					synctest.Wait()
 					slowest := time.Duration(0)
-					for _, n := range w.nodes {
+					for _, n := range f.nodes {
 						slowest = max(slowest, n.at[v].Sub(accepted))
 					}
 					last = append(last, slowest)
-					w.verify(v)
+					f.verify(v)
 				}
 				slices.Sort(last)
 				t.Logf("time from acceptance to activation at the last of %d entries: p50 %v, longest %v", entries, last[publications/2], last[publications-1])
@@ -189,119 +189,119 @@
 }
 
 func TestVersionNeverDecreases(t *testing.T) {
-	tests := map[string]func(w *fleet){
-		"store returns an older state": func(w *fleet) {
-			w.store.SetFault(platform.Fault{Stale: unit.Duration(30 * time.Second)})
+	tests := map[string]func(f *fleet){
+		"store returns an older state": func(f *fleet) {
+			f.store.SetFault(platform.Fault{Stale: unit.Duration(30 * time.Second)})
 			time.Sleep(10 * time.Second)
-			w.store.SetFault(platform.Fault{})
+			f.store.SetFault(platform.Fault{})
 		},
-		"store down for hours": func(w *fleet) {
-			w.stopAll()
-			w.beat = time.Minute
-			w.startAll()
+		"store down for hours": func(f *fleet) {
+			f.stopAll()
+			f.beat = time.Minute
+			f.startAll()
 			time.Sleep(5 * time.Second)
-			w.store.SetFault(platform.Fault{Down: true})
+			f.store.SetFault(platform.Fault{Down: true})
 			time.Sleep(3 * time.Hour)
-			w.store.SetFault(platform.Fault{})
+			f.store.SetFault(platform.Fault{})
 		},
-		"object removed by hand": func(w *fleet) {
-			o, _ := w.store.Get(w.t.Context(), publish.CurrentKey)
-			_ = w.store.Delete(w.t.Context(), publish.CurrentKey, ifVersion(o))
+		"object removed by hand": func(f *fleet) {
+			o, _ := f.store.Get(f.t.Context(), publish.CurrentKey)
+			_ = f.store.Delete(f.t.Context(), publish.CurrentKey, ifVersion(o))
 			time.Sleep(time.Minute)
 		},
-		"slow peer with an old version": func(w *fleet) {
-			n := w.nodes["entry-3"]
+		"slow peer with an old version": func(f *fleet) {
+			n := f.nodes["entry-3"]
 			n.node.Pause()
-			w.publish(20)
+			f.publish(20)
 			time.Sleep(10 * time.Second)
 			n.node.Resume()
 		},
-		"all restarted": func(w *fleet) {
-			for _, name := range w.names {
-				w.nodes[name].stop()
-				w.start(name)
+		"all restarted": func(f *fleet) {
+			for _, name := range f.names {
+				f.nodes[name].stop()
+				f.start(name)
 				time.Sleep(time.Second)
 			}
 		},
-		"all restarted at once": func(w *fleet) {
-			w.stopAll()
-			w.startAll()
+		"all restarted at once": func(f *fleet) {
+			f.stopAll()
+			f.startAll()
 		},
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
-			withFleet(t, func(w *fleet) {
-				w.publish(1)
-				w.startAll()
+			withFleet(t, func(f *fleet) {
+				f.publish(1)
+				f.startAll()
 				time.Sleep(20 * time.Second)
-				v := w.publish(2)
+				v := f.publish(2)
 				time.Sleep(5 * time.Second)
-				w.verify(v)
-				fault(w)
-				for _, n := range w.nodes {
+				f.verify(v)
+				fault(f)
+				for _, n := range f.nodes {
 					is.New(t).True(n.Current() == nil || n.Current().Version() >= v)
 				}
 				time.Sleep(20 * time.Second)
-				v = w.publish(3)
+				v = f.publish(3)
 				time.Sleep(10 * time.Second)
-				w.verify(v)
+				f.verify(v)
 			})
 		})
 	}
 }
 
 func TestStartingEntryFetchesFromPeersWithTheStoreDown(t *testing.T) {
-	withFleet(t, func(w *fleet) {
-		is := is.New(w.t)
-		w.publish(1)
-		for _, name := range w.names[1:] {
-			w.start(name)
+	withFleet(t, func(f *fleet) {
+		is := is.New(f.t)
+		f.publish(1)
+		for _, name := range f.names[1:] {
+			f.start(name)
 		}
 		time.Sleep(10 * time.Second)
-		w.nodes["entry-1"].node.Pause() // a slow peer delays readiness by at most the fetch timeout
-		w.store.SetFault(platform.Fault{Down: true})
-		fresh := w.start("entry-0")
+		f.nodes["entry-1"].node.Pause() // a slow peer delays readiness by at most the fetch timeout
+		f.store.SetFault(platform.Fault{Down: true})
+		fresh := f.start("entry-0")
 		is.True(!fresh.Ready())
 		time.Sleep(1500 * time.Millisecond)
 		is.True(fresh.Ready())
 		is.Equal(fresh.Current().Version(), id.Version(1))
 		is.True(fresh.Report().From != "")
-		w.nodes["entry-1"].node.Resume()
+		f.nodes["entry-1"].node.Resume()
 	})
 }
 
 func TestNotReadyBeforeAVersionIsHeld(t *testing.T) {
-	withFleet(t, func(w *fleet) {
-		is := is.New(w.t)
-		w.publish(1)
-		w.store.SetFault(platform.Fault{Down: true})
-		w.beat = time.Minute
-		w.startAll()
+	withFleet(t, func(f *fleet) {
+		is := is.New(f.t)
+		f.publish(1)
+		f.store.SetFault(platform.Fault{Down: true})
+		f.beat = time.Minute
+		f.startAll()
 		time.Sleep(5 * time.Minute)
-		for _, n := range w.nodes {
+		for _, n := range f.nodes {
 			is.True(!n.Ready())
 		}
-		before := w.store.Counts()
-		w.store.SetFault(platform.Fault{})
+		before := f.store.Counts()
+		f.store.SetFault(platform.Fault{})
 		time.Sleep(10 * time.Second)
-		w.verify(1)
-		after := w.store.Counts()
+		f.verify(1)
+		after := f.store.Counts()
 		calls := after[platform.Get] + after[platform.Watch] - before[platform.Get] - before[platform.Watch]
 		is.True(calls <= 4*entries) // no burst of calls when the store is available again
 	})
 }
 
-func TestAtLeastWaitsForTheVersion(t *testing.T) {
-	withFleet(t, func(w *fleet) {
-		is := is.New(w.t)
-		w.publish(1)
-		w.startAll()
+func TestWaitForWaitsForTheVersion(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		is := is.New(f.t)
+		f.publish(1)
+		f.startAll()
 		time.Sleep(time.Minute)
-		n := w.nodes["entry-0"]
-		ctx, cancel := context.WithTimeout(w.t.Context(), 3*time.Second)
+		n := f.nodes["entry-0"]
+		ctx, cancel := context.WithTimeout(f.t.Context(), 3*time.Second)
 		defer cancel()
 		is.True(n.WaitFor(ctx, 1))
-		go func() { time.Sleep(time.Second); w.publish(2) }()
+		go func() { time.Sleep(time.Second); f.publish(2) }()
 		is.True(n.WaitFor(ctx, 2))
 		is.True(!n.WaitFor(ctx, 3))
 	})
