--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -36,7 +36,7 @@
 	case s.phase(1) != shutdown.Serving:
 		return eris.New("leaving")
 	case s.starting():
-		return eris.New("starting: waiting until all backend servers have a home entry and the shift cap windows have passed since the start")
+		return eris.New("starting: waits for the homes of backend servers, and until what an earlier process sent can't count against a cap")
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 	out.Class = class.Name
 	entries, _ := s.lookups.Entries(q.Service, q.Caller)
 	for _, e := range entries {
-		out.Entries = append(out.Entries, operator.Choice{Name: string(e.Instance), Weight: float64(e.Weight), Why: "lookup table"})
+		out.Entries = append(out.Entries, operator.Choice{Name: string(e.Instance), Weight: float64(e.Weight), Why: "look-up table"})
 	}
 	for _, b := range s.router.Order(&admission.Request{Service: f, Class: class, Caller: q.Caller}) {
 		why := "one-way delay " + s.Settings.Deployment.Delay(s.Settings.Zone, b.Zone).String()
@@ -234,12 +234,12 @@
 func (s *source) drainInstance(t operator.Target, leave bool) (operator.Progress, error) {
 	switch {
 	case t.Instance != s.Settings.Instance:
-		return operator.Progress{}, operator.Errorf(result.BadCommand, "this is entry %s; send the command to %s", s.Settings.Instance, t.Instance)
+		return operator.Progress{}, operator.Errorf(result.BadCommand, "this is %s; ask %s itself", s.Settings.Instance, t.Instance)
 	case !leave:
-		return operator.Progress{}, operator.Errorf(result.BadCommand, "the shutdown of an entry can't be cancelled; restart the entry")
+		return operator.Progress{}, operator.Errorf(result.BadCommand, "an entry that is leaving can't be kept; start it again")
 	}
 	s.BeginShutdown()
-	return operator.Progress{Target: t, Draining: true, Text: "waiting for lookup answers to expire"}, nil
+	return operator.Progress{Target: t, Draining: true, Text: "waits for look-up answers to run out"}, nil
 }
 
 func (s *source) checkTarget(t operator.Target) error {
--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -55,14 +55,14 @@
 // Check validates a decoded heartbeat.
 func (b *Beat) Check() error {
 	if b.Instance == "" || b.Incarnation == 0 {
-		return eris.New("heartbeat without a sender")
+		return eris.New("beat without a sender")
 	}
 	if len(b.Observed) > maxHeard {
-		return eris.Errorf("heartbeat lists %d entries, want at most %d", len(b.Observed), maxHeard)
+		return eris.Errorf("beat names %d entries, want at most %d", len(b.Observed), maxHeard)
 	}
 	for _, h := range b.Observed {
 		if h.Instance == "" || h.Age < 0 || h.Age.Std() > 24*time.Hour {
-			return eris.Errorf("heartbeat lists entry %q with age %s", h.Instance, h.Age)
+			return eris.Errorf("beat names %q with age %s", h.Instance, h.Age)
 		}
 	}
 	return nil
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -120,13 +120,13 @@
 func (h *Heartbeat) handle(_ context.Context, from peer.Sender, params json.RawMessage) (any, error) {
 	var b Beat
 	if err := json.Unmarshal(params, &b); err != nil {
-		return nil, eris.Wrap(err, "decode heartbeat")
+		return nil, eris.Wrap(err, "decode beat")
 	}
 	if err := b.Check(); err != nil {
 		return nil, err
 	}
 	if b.Instance != from.Instance || b.Incarnation != from.Incarnation {
-		return nil, eris.Errorf("heartbeat of %s on a connection of %s", b.Instance, from.Instance)
+		return nil, eris.Errorf("beat of %s on a connection of %s", b.Instance, from.Instance)
 	}
 	h.apply(&b, false, 0)
 	return h.Table.Answer(time.Now(), h.Incarnation, h.Own()), nil
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -56,13 +56,13 @@
 	if !ok {
 		h.Log.Warn("operator request rejected", "remote", r.RemoteAddr, "method", r.Method, "path", r.URL.Path)
 		w.Header().Set("WWW-Authenticate", "Bearer")
-		writeError(w, Errorf(result.OperatorUnknown, "the bearer token is missing or unknown"))
+		writeError(w, Errorf(result.OperatorUnknown, "the token is missing or not known"))
 		return
 	}
 	changes := r.Method != http.MethodGet
 	if changes && who.Role != settings.Writer {
 		h.Log.Warn("operator request rejected", "operator", who.Name, "role", who.Role, "method", r.Method, "path", r.URL.Path)
-		writeError(w, Errorf(result.OperatorRole, "the role %s does not permit this request", who.Role))
+		writeError(w, Errorf(result.OperatorRole, "the role %s may not do this", who.Role))
 		return
 	}
 	if changes {
@@ -94,7 +94,7 @@
 	}
 	act := h.action(r.Method, r.URL.Path)
 	if act == nil {
-		writeError(w, Errorf(result.NoTarget, "no endpoint %s %s", r.Method, r.URL.Path))
+		writeError(w, Errorf(result.NoTarget, "there is no %s %s", r.Method, r.URL.Path))
 		return
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -209,7 +209,7 @@
 	server := t.Service != "" && t.Server != ""
 	part := t.Service != "" || t.Server != ""
 	if (t.Instance != "") == part || part != server {
-		return Errorf(result.BadCommand, "the target must be either a service and a backend server, or an instance")
+		return Errorf(result.BadCommand, "a target is a service and a backend server, or an instance")
 	}
 	return nil
 }
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -118,6 +118,6 @@
 // Handle rejects requests on a connection that this end dialled.
 func (rejectRequests) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if !r.Notif {
-		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "requests are accepted only from the end that dialled"})
+		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "wrong direction"})
 	}
 }
