--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -36,8 +36,8 @@
 )
 
 // receive forwards the response.
-func (d *callerSink) receive(resp *backend.Response) error {
-	c := d.call
+func (s *callerSink) receive(resp *backend.Response) error {
+	c := s.call
 	var buffered []byte
 	complete := false
 	if c.class.Kind.Safe() || resp.Length >= 0 {
--- a/internal/entry/fault_test.go
+++ b/internal/entry/fault_test.go
@@ -19,18 +19,18 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// TestReadsSucceedDespiteSilentConnections makes some or all open connections
-// to every backend server silent between reads: no byte arrives on them any
+// TestReadsSucceedDespiteStalledConnections stalls every connection, or every
+// second one, to every backend server between reads: no byte arrives on it any
 // more. The reads must be hedged over other connections.
-func TestReadsSucceedDespiteSilentConnections(t *testing.T) {
+func TestReadsSucceedDespiteStalledConnections(t *testing.T) {
 	for _, nth := range []int{1, 2} {
 		t.Run(fmt.Sprint("one in ", nth), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { readOverSilentConnections(t, nth) })
+			synctest.Test(t, func(t *testing.T) { readOverStalledConnections(t, nth) })
 		})
 	}
 }
 
-func readOverSilentConnections(t *testing.T, nth int) {
+func readOverStalledConnections(t *testing.T, nth int) {
 	is := is.New(t)
 	c := newPipeCluster(t, 2, 1)
 	read := func(n int) {
@@ -65,9 +65,9 @@
 		}
 	}
 	if nth == 1 {
-		// With all connections silent, at least one read uses a silent one.
+		// With all connections stalled, at least one read uses a stalled one.
 		is.True(took > 100*time.Millisecond)
-		is.True(stillRunning > 0) // the slots of requests on silent connections stay in use
+		is.True(stillRunning > 0) // the slots of requests on stalled connections stay in use
 	}
 }
 
@@ -113,13 +113,13 @@
 // Only failures that count as crashes may lead to its quarantine.
 func TestCrashDetection(t *testing.T) {
 	tests := map[string]struct {
-		spoil standin.ResponseFault
+		fault standin.ResponseFault
 		stop  bool
 		want  bool
 	}{
-		"truncated by a live server":            {spoil: standin.Truncated},
-		"closed without a response":             {spoil: standin.NoAnswer, want: true},
-		"crashed in the middle of the response": {spoil: standin.Truncated, stop: true, want: true},
+		"truncated by a live server":            {fault: standin.Truncated},
+		"closed without a response":             {fault: standin.NoAnswer, want: true},
+		"crashed in the middle of the response": {fault: standin.Truncated, stop: true, want: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -131,7 +131,7 @@
 						if tt.stop {
 							time.AfterFunc(time.Millisecond, func() { s.Close() })
 						}
-						return tt.spoil
+						return tt.fault
 					}})
 				}
 				for range 3 {
@@ -181,11 +181,11 @@
 				c.entries[0].Budget = never{}
 				c.faults(tt.faults)
 				is.Equal(c.do(c.entries[0], "GET", "/s/registry/a", "", result.HeaderRequestID, "r1").code, tt.code)
-				begun := 0
+				started := 0
 				for _, s := range c.servers {
-					begun += s.Record().Started["r1"]
+					started += s.Record().Started["r1"]
 				}
-				is.Equal(begun, 1)
+				is.Equal(started, 1)
 			})
 		})
 	}
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -62,8 +62,8 @@
 
 	// CrashReporter sends crash reports to the other entries.
 	CrashReporter interface {
-		// Broadcast returns once every reachable entry has received the report, or
-		// when ctx ends.
+		// Broadcast returns once every reachable entry has received the
+		// report, or when ctx ends.
 		Broadcast(ctx context.Context, report quarantine.CrashReport)
 	}
 
@@ -90,13 +90,15 @@
 		Lookup Lookup
 		// Once issues tickets and keeps the outcomes of at-most-once requests.
 		Once *once.Registry
-		// EntryAddress returns the address of another entry for callers, to which an
-		// at-most-once request is forwarded; nil disables forwarding.
+		// EntryAddress returns the address of another entry's listener for
+		// callers, to which at-most-once requests are forwarded; nil disables
+		// forwarding.
 		EntryAddress func(id.Instance) (netip.AddrPort, bool)
 		// Quarantine rejects requests that crash backend servers; nil rejects
 		// none.
 		Quarantine *quarantine.List
-		// CrashReporter sends crash reports to the other entries; nil sends none.
+		// CrashReporter sends crash reports to the other entries; nil sends
+		// none.
 		CrashReporter CrashReporter
 		// Budget limits retries; nil disables them.
 		Budget Budget
--- a/internal/entry/handler_test.go
+++ b/internal/entry/handler_test.go
@@ -207,7 +207,8 @@
 func TestTruncatedResponseAbortsConnection(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
-	// The server crashes while a response too large to be buffered is forwarded.
+	// The server crashes while a response too large to be buffered is
+	// forwarded.
 	c.faults(standin.Faults{Response: func(*http.Request) standin.ResponseFault {
 		time.AfterFunc(50*time.Millisecond, func() { c.servers[0].Close() })
 		return standin.Intact
--- a/internal/entry/observe.go
+++ b/internal/entry/observe.go
@@ -78,37 +78,37 @@
 	return 48
 }
 
-func (o *instruments) counter(set *metrics.Set, code result.Code) *metrics.Counter {
-	if v, ok := o.counters.Load(code); ok {
+func (i *instruments) counter(set *metrics.Set, code result.Code) *metrics.Counter {
+	if v, ok := i.counters.Load(code); ok {
 		if m, ok := v.(*metrics.Counter); ok {
 			return m
 		}
 	}
 	info, _ := code.Info()
 	m := set.GetOrCreateCounter(fmt.Sprintf(`shallotpier_requests_total{code="%s",name=%q,ran=%q}`, code, info.Name, info.Ran))
-	o.counters.Store(code, m)
+	i.counters.Store(code, m)
 	return m
 }
 
 // histogram returns the histogram of a series. Address blocks of callers beyond
 // maxCallerBlocks share one.
-func (o *instruments) histogram(set *metrics.Set, s series) *metrics.Histogram {
-	if v, ok := o.histograms.Load(s); ok {
+func (i *instruments) histogram(set *metrics.Set, s series) *metrics.Histogram {
+	if v, ok := i.histograms.Load(s); ok {
 		if m, ok := v.(*metrics.Histogram); ok {
 			return m
 		}
 	}
 	if !s.block.IsValid() {
 		m := set.GetOrCreateHistogram(fmt.Sprintf(`shallotpier_request_seconds{service=%q,class=%q}`, s.service, s.class))
-		o.histograms.Store(s, m)
+		i.histograms.Store(s, m)
 		return m
 	}
-	if o.blocks.Add(1) > maxCallerBlocks {
-		o.blocks.Add(-1)
+	if i.blocks.Add(1) > maxCallerBlocks {
+		i.blocks.Add(-1)
 		return set.GetOrCreateHistogram(fmt.Sprintf(`shallotpier_caller_request_seconds{service=%q,caller="other"}`, s.service))
 	}
 	m := set.GetOrCreateHistogram(fmt.Sprintf(`shallotpier_caller_request_seconds{service=%q,caller=%q}`, s.service, s.block))
-	o.histograms.Store(s, m)
+	i.histograms.Store(s, m)
 	return m
 }
 
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -119,8 +119,8 @@
 // retry of the caller finds the outcome.
 func (c *call) execute(use once.Use) {
 	exec := *c
-	deadline, cancel := context.WithDeadline(context.WithoutCancel(c.ctx), c.deadline)
-	exec.ctx, exec.w = deadline, discardWriter{http.Header{}}
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.ctx), c.deadline)
+	exec.ctx, exec.w = ctx, discardWriter{http.Header{}}
 	sink := &memorySink{call: &exec}
 	exec.broadcasts = new(sync.WaitGroup)
 	c.h.running.Add(1)
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -139,7 +139,7 @@
 		"read":           {method: "GET", path: "/s/registry/poison"},
 		"write":          {method: "POST", path: "/s/registry/poison", body: "x"},
 		"upload":         {method: "PUT", path: "/s/registry/poison", body: "xyz"},
-		"once-only":      {method: "POST", path: "/s/registry/certificates/poison", body: "x"},
+		"at-most-once":   {method: "POST", path: "/s/registry/certificates/poison", body: "x"},
 		"read and query": {method: "GET", path: "/s/registry/poison?a=b"},
 	}
 	for name, tt := range tests {
@@ -151,7 +151,7 @@
 			for i := range 12 {
 				e := c.entries[i%3]
 				var header []string
-				if name == "once-only" {
+				if name == "at-most-once" {
 					header = []string{result.HeaderTicket, c.ticket(e)}
 				}
 				if c.do(e, tt.method, tt.path, tt.body, header...).code == result.Quarantined {
--- a/internal/entry/pending.go
+++ b/internal/entry/pending.go
@@ -94,9 +94,9 @@
 	return winner, append(used, second.usedServer()...)
 }
 
-// abandon cancels a send whose response is no longer awaited. Its connection
-// may have stalled, so that the idle connections to its server are closed as
-// well.
+// abandon cancels a send whose response is no longer awaited. It also closes
+// the idle connections to the server, since the connection may have stalled and
+// others with it.
 func (c *call) abandon(s *pendingSend) {
 	s.cancel()
 	c.h.running.Add(1)
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -28,8 +28,8 @@
 		// serverClosed is set if the server closed the connection;
 		// responseStarted, if it had begun to respond.
 		serverClosed, responseStarted bool
-		// pendingClose is the pending close of the connection, if the server may
-		// still be running the request.
+		// pendingClose is the pending close of the connection, if the server
+		// may still be running the request.
 		pendingClose *backend.PendingClose
 		// forwarded is set if a response was forwarded, completely or in part.
 		forwarded  bool
@@ -201,7 +201,7 @@
 
 // crashOrigin describes the send that crashed a server. Of two concurrent sends
 // of one request, the second counts as begun after the crash of the first: they
-// went to different servers, so that two crashes are no coincidence.
+// went to different servers, so two crashes are no coincidence.
 func (c *call) crashOrigin(s *pendingSend) quarantine.Origin {
 	o := quarantine.Origin{Service: c.file.Service, Class: c.class.Name, Send: s.id, Began: s.started}
 	if c.attempts > 1 {
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -26,12 +26,12 @@
 func TestUploadIsStreamed(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1, 1)
-	begun := make(chan struct{})
-	c.faults(standin.Faults{Crash: func(*http.Request) bool { close(begun); return false }})
+	started := make(chan struct{})
+	c.faults(standin.Faults{Crash: func(*http.Request) bool { close(started); return false }})
 	body, feed := io.Pipe()
 	go func() {
 		_, _ = io.WriteString(feed, "first")
-		<-begun
+		<-started
 		_, _ = io.WriteString(feed, "last")
 		feed.Close()
 	}()
@@ -173,8 +173,8 @@
 }
 
 // BenchmarkUpload sends 1 GiB through an entry. Caller, entry and backend
-// server share the process, so that heapMiB is an upper bound of the heap that
-// the upload needs in the entry.
+// server share the process, so heapMiB is an upper bound of the heap that the
+// upload needs in the entry.
 func BenchmarkUpload(b *testing.B) {
 	const size = 1 << 30
 	c := newCluster(&testing.T{}, 1, 1)
