--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -239,14 +239,14 @@
 		method           string
 		body             io.Reader
 		silent           bool
-		stuck            bool
+		stalled          bool
 		readStallTimeout time.Duration
 		code             result.Code
 		took             time.Duration
 	}{
 		"slow upload":                         {method: "POST", body: &slowBody{left: 30 * 1024, pause: 20 * time.Second}},
 		"slow upload with read stall timeout": {method: "POST", body: &slowBody{left: 5 * 1024, pause: 20 * time.Second}, readStallTimeout: 2 * time.Second},
-		"response stalls in the middle":       {method: "GET", stuck: true, readStallTimeout: 2 * time.Second, code: result.ConnectionSilent, took: 2 * time.Second},
+		"response stalls in the middle":       {method: "GET", stalled: true, readStallTimeout: 2 * time.Second, code: result.ConnectionSilent, took: 2 * time.Second},
 		"write on a silent connection":        {method: "POST", body: &slowBody{left: 256 * 1024, pause: time.Millisecond}, silent: true, code: result.ConnectionSilent, took: 30 * time.Second},
 	}
 	for name, tt := range tests {
@@ -262,7 +262,7 @@
 				if tt.silent {
 					srv.SetFaults(standin.Faults{Crash: func(*http.Request) bool { srv.StallConnections(1); time.Sleep(time.Hour); return false }})
 				}
-				if tt.stuck {
+				if tt.stalled {
 					srv.SetFaults(standin.Faults{Response: func(*http.Request) standin.ResponseFault { return standin.Stalled }})
 				}
 				c := &backend.Client{Dial: n.Dial}
--- a/internal/backend/ran_test.go
+++ b/internal/backend/ran_test.go
@@ -53,7 +53,7 @@
 	// server's record, and the bytes on its connection.
 	sendRecord struct {
 		code          result.Code
-		begun, ran    int
+		started, ran  int
 		written, read int
 	}
 )
@@ -158,7 +158,7 @@
 		got.code = sendOnce(t, c, target, form, "r1")
 		synctest.Wait()
 		rec := srv.Record()
-		got.begun, got.ran = rec.Started["r1"], rec.Ran["r1"]
+		got.started, got.ran = rec.Started["r1"], rec.Ran["r1"]
 		got.written, got.read = last.written, last.read
 		c.CloseIdle()
 		srv.Close()
