--- a/internal/notices/doc.go
+++ b/internal/notices/doc.go
@@ -15,11 +15,11 @@
 //
 // # Usage
 //
-//	x := notices.Exchange{Board: &board, Peers: node, Others: live, Store: s}
+//	x := notices.Exchange{Table: &table, Peers: node, Others: live, Store: s}
 //	x.Register(node)
 //	go x.Run(ctx)
 //	x.Post(ctx, notices.Key{Service: "registry", Server: "registry-07"}, true)
-//	if board.Leaving("registry", "registry-07") {
+//	if table.Leaving("registry", "registry-07") {
 //		// no new requests
 //	}
 package notices
--- a/internal/notices/notices_test.go
+++ b/internal/notices/notices_test.go
@@ -94,9 +94,9 @@
 				c.store.SetFault(platform.Fault{Down: true})
 				c.network.SetHook(hook)
 				time.Sleep(10 * time.Second)
-				begun := time.Now()
+				started := time.Now()
 				go c.exchanges[0].Post(ctx, server, true)
-				time.Sleep(time.Until(begun.Add(3 * time.Second)))
+				time.Sleep(time.Until(started.Add(3 * time.Second)))
 				synctest.Wait()
 				is.True(c.agree(true))
 			})
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestBoardMerge(t *testing.T) {
+func TestTableMerge(t *testing.T) {
 	give := func(sequence uint64, by id.Instance, leaving bool) notices.Notice {
 		return notices.Notice{Service: "registry", Server: "registry-07", Sequence: sequence, By: by, Leaving: leaving}
 	}
@@ -169,12 +169,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b notices.Table
+			var table notices.Table
 			added := 0
 			for _, n := range tt.give {
-				added += len(b.Merge([]notices.Notice{n}))
+				added += len(table.Merge([]notices.Notice{n}))
 			}
-			is.Equal(b.Leaving("registry", "registry-07"), tt.want)
+			is.Equal(table.Leaving("registry", "registry-07"), tt.want)
 			is.Equal(added, tt.added)
 			var other notices.Table
 			other.Merge(tt.give) // all at once
--- a/internal/notices/table.go
+++ b/internal/notices/table.go
@@ -49,7 +49,7 @@
 		highest uint64
 	}
 
-	// contents is the immutable state of a Board at one time.
+	// contents is the immutable state of a Table at one time.
 	contents struct {
 		notices map[Key]Notice
 		digest  uint64
@@ -65,20 +65,20 @@
 }
 
 // Leaving reports whether the server is leaving according to its latest notice.
-func (b *Table) Leaving(service id.Service, server id.Server) bool {
-	n, ok := b.Get(Key{Service: service, Server: server})
+func (t *Table) Leaving(service id.Service, server id.Server) bool {
+	n, ok := t.Get(Key{Service: service, Server: server})
 	return ok && n.Leaving
 }
 
 // Get returns the latest notice of a server.
-func (b *Table) Get(k Key) (Notice, bool) {
-	n, ok := b.load()[k]
+func (t *Table) Get(k Key) (Notice, bool) {
+	n, ok := t.load()[k]
 	return n, ok
 }
 
 // All returns the latest notices, ordered by service and server.
-func (b *Table) All() []Notice {
-	latest := b.load()
+func (t *Table) All() []Notice {
+	latest := t.load()
 	out := make([]Notice, 0, len(latest))
 	for _, n := range latest {
 		out = append(out, n)
@@ -91,8 +91,8 @@
 
 // Digest returns a hash of the latest notices, which doesn't depend on the
 // order in which they were received; 0 if there are none.
-func (b *Table) Digest() uint64 {
-	if p := b.latest.Load(); p != nil {
+func (t *Table) Digest() uint64 {
+	if p := t.latest.Load(); p != nil {
 		return p.digest
 	}
 	return 0
@@ -100,21 +100,21 @@
 
 // Set adds and returns a notice with a higher sequence number than all notices
 // received so far.
-func (b *Table) Set(k Key, leaving bool, now time.Time, by id.Instance) Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := Notice{Service: k.Service, Server: k.Server, Leaving: leaving, Since: now, Sequence: b.highest + 1, By: by}
-	b.add([]Notice{n})
+func (t *Table) Set(k Key, leaving bool, now time.Time, by id.Instance) Notice {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	n := Notice{Service: k.Service, Server: k.Server, Leaving: leaving, Since: now, Sequence: t.highest + 1, By: by}
+	t.add([]Notice{n})
 	return n
 }
 
 // Merge adds notices of other entries and returns those that were new. Invalid
 // notices are ignored.
-func (b *Table) Merge(notices []Notice) []Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Table) Merge(notices []Notice) []Notice {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var added []Notice
-	latest := b.load()
+	latest := t.load()
 	for _, n := range notices {
 		if n.Check() != nil {
 			continue
@@ -124,16 +124,16 @@
 		}
 	}
 	if len(added) > 0 {
-		b.add(added)
+		t.add(added)
 	}
 	return added
 }
 
-// add replaces the map by a copy that contains the given notices. A notice is
-// skipped if the map, or the list before it, has one that supersedes it.
-func (b *Table) add(notices []Notice) {
-	current := b.load()
-	next := &contents{notices: make(map[Key]Notice, len(current)+len(notices)), digest: b.Digest()}
+// add replaces the map by a copy that contains the given notices, except those
+// that don't supersede an earlier one of the map or of the list.
+func (t *Table) add(notices []Notice) {
+	current := t.load()
+	next := &contents{notices: make(map[Key]Notice, len(current)+len(notices)), digest: t.Digest()}
 	maps.Copy(next.notices, current)
 	for _, n := range notices {
 		old, ok := next.notices[n.key()]
@@ -145,13 +145,13 @@
 		}
 		next.digest += n.hash()
 		next.notices[n.key()] = n
-		b.highest = max(b.highest, n.Sequence)
+		t.highest = max(t.highest, n.Sequence)
 	}
-	b.latest.Store(next)
+	t.latest.Store(next)
 }
 
-func (b *Table) load() map[Key]Notice {
-	if p := b.latest.Load(); p != nil {
+func (t *Table) load() map[Key]Notice {
+	if p := t.latest.Load(); p != nil {
 		return p.notices
 	}
 	return nil
