--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -4,7 +4,7 @@
 // It replicates the inputs, not the results: changes of the configuration, in
 // numbered epochs with one serial order. Each entry applies an [Epoch] to its
 // [Replica], computes the lookup rows that depend on it, and compares its
-// digest with that of the epoch. The digest is a sum over the rows, so that
+// digest with that of the epoch. The digest is a sum over the rows, so
 // updating it costs only as much as the rows that changed. An entry that misses
 // an epoch or whose digest differs fetches a snapshot. Replicating inputs in a
 // serial order and comparing checksums of the result follows "Scalable
--- a/internal/replication/epoch.go
+++ b/internal/replication/epoch.go
@@ -10,8 +10,8 @@
 const (
 	// SetWeight sets the weight of a site.
 	SetWeight Kind = "setWeight"
-	// SetLeaving marks a site as leaving if Weight is 0, and as available again if
-	// Weight is 1.
+	// SetLeaving marks a site as leaving if Weight is 0, and as available again
+	// if Weight is 1.
 	SetLeaving Kind = "setLeaving"
 	// SetBlock sets the sites of a client block, nearest first.
 	SetBlock Kind = "setBlock"
@@ -22,12 +22,13 @@
 
 // Errors of Apply; compare with errors.Is.
 var (
-	// ErrOld means that the epoch has already been applied; nothing was changed.
+	// ErrOld means that the epoch has already been applied; nothing was
+	// changed.
 	ErrOld = eris.New("epoch is already applied")
 	// ErrGap means that an earlier epoch is missing; nothing was changed.
 	ErrGap = eris.New("an earlier epoch is missing")
-	// ErrDiverged means that the digest after the epoch differs from that of the
-	// epoch's origin.
+	// ErrDiverged means that the digest after the epoch differs from that of
+	// the epoch's origin.
 	ErrDiverged = eris.New("state diverged from the epoch's origin")
 )
 
