--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -76,7 +76,7 @@
 	lookups      lookups
 	slots        shared.Admitter
 	leases       *lease.Keeper
-	board        notices.Table
+	notices      notices.Table
 	exchange     *notices.Exchange
 	quarantine   quarantine.List
 	config       *config.Keeper
@@ -220,7 +220,7 @@
 	d.store = &observed.Store{Store: base}
 	d.node = &rpc.Node{Self: peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}, Dial: d.dialPeer}
 	d.exchange = &notices.Exchange{
-		Self: d.Settings.Instance, Table: &d.board, Peers: d.node, Others: d.others, Store: d.store,
+		Self: d.Settings.Instance, Table: &d.notices, Peers: d.node, Others: d.others, Store: d.store,
 		Rand: mathrand(d.incarnation), OnChange: d.noticesChanged, Log: d.Log,
 	}
 	d.exchange.Register(d.node)
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -7,9 +7,9 @@
 // drain notice replaces the view. All decisions are made in other packages;
 // this one passes events to them and carries out their decisions.
 //
-// Graceful shutdown begins with [Daemon.BeginShutdown] or the end of Run's context.
-// Run returns nil when the last request has ended. [Daemon.Kill] stops the
-// daemon at once and aborts running requests.
+// Graceful shutdown begins with [Daemon.BeginShutdown] or the end of Run's
+// context. Run returns nil when the last request has ended. [Daemon.Kill] stops
+// the daemon at once and aborts running requests.
 //
 // # Usage
 //
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -44,8 +44,8 @@
 func (h homeLeases) Home(b wire.Bucket) (id.Instance, id.Term, bool) {
 	r, _, ok := h.keeper.Record(bucketName(b))
 	if !ok {
-		likely, found := h.preferred(bucketName(b))
-		return likely, 0, found
+		preferred, found := h.preferred(bucketName(b))
+		return preferred, 0, found
 	}
 	return r.Holder.Instance, r.Term, !r.Released
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -19,9 +19,9 @@
 	// together: an equal share of each shift cap and of each link's bandwidth.
 	// It is safe for concurrent use.
 	limits struct {
-		world   *deployment.Deployment
-		region  id.Region
-		started time.Time
+		deployment *deployment.Deployment
+		region     id.Region
+		started    time.Time
 
 		mu     sync.Mutex
 		window time.Duration // longest window of all caps
@@ -68,8 +68,8 @@
 // prepare creates the budgets of the links to the other regions.
 func (l *limits) prepare(now time.Time) {
 	l.links = map[id.Region]*link.Budget{}
-	for _, r := range l.world.Regions {
-		between := l.world.Link(l.region, r.Name)
+	for _, r := range l.deployment.Regions {
+		between := l.deployment.Link(l.region, r.Name)
 		if between == nil {
 			continue
 		}
@@ -80,7 +80,7 @@
 }
 
 // share returns this entry's share of a limit as a fraction.
-func (l *limits) share() unit.Rate { return 1 / unit.Rate(len(l.world.Entries)) }
+func (l *limits) share() unit.Rate { return 1 / unit.Rate(len(l.deployment.Entries)) }
 
 // Cap returns the cap on traffic shifts of a service to a region, nil if there
 // is none.
--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -15,22 +15,22 @@
 // prepareSlots builds the admission control of requests: leases, slots, router
 // and limits.
 func (d *Daemon) prepareSlots() {
-	world := d.Settings.Deployment
+	dep := d.Settings.Deployment
 	d.prepareLeases()
 	d.slots.Self = peer.Sender{Instance: d.Settings.Instance, Incarnation: d.incarnation}
-	d.slots.Caller, d.slots.Homes, d.slots.Entries = d.node, homeLeases{d.leases, d.preferredHome}, len(world.Entries)
+	d.slots.Caller, d.slots.Homes, d.slots.Entries = d.node, homeLeases{d.leases, d.preferredHome}, len(dep.Entries)
 	d.slots.Lifetime, d.slots.Renew, d.slots.Log = grantLifetime, grantRenewInterval, d.Log
-	d.slots.Distance = func(z id.Zone) time.Duration { return world.Delay(d.Settings.Zone, z) }
+	d.slots.Distance = func(z id.Zone) time.Duration { return dep.Delay(d.Settings.Zone, z) }
 	for method, handler := range d.slots.Handlers() {
 		d.node.Register(method, handler)
 	}
-	d.router = &routing.Router{Deployment: world, Zone: d.Settings.Zone, Inner: &d.slots}
+	d.router = &routing.Router{Deployment: dep, Zone: d.Settings.Zone, Inner: &d.slots}
 	d.slots.Pool.Order = d.router.Order
 	d.slots.Pool.MaxWaiting = maxWaiting
-	d.limits = limits{world: world, region: d.Settings.Region, started: d.started}
+	d.limits = limits{deployment: dep, region: d.Settings.Region, started: d.started}
 	d.limits.prepare(d.started)
 	d.admitter = &steered.Admitter{
-		Inner: d.router, Self: d.Settings.Region, Region: world.Region, Cap: d.limits.Cap, Link: d.limits.Link,
+		Inner: d.router, Self: d.Settings.Region, Region: dep.Region, Cap: d.limits.Cap, Link: d.limits.Link,
 	}
 }
 
--- a/internal/daemon/source.go
+++ b/internal/daemon/source.go
@@ -225,7 +225,7 @@
 	if err := s.checkTarget(t); err != nil {
 		return operator.Progress{}, err
 	}
-	if s.board.Leaving(t.Service, t.Server) != leave {
+	if s.notices.Leaving(t.Service, t.Server) != leave {
 		s.exchange.Post(ctx, noticeKey(t.Service, t.Server), leave)
 	}
 	return s.Progress(ctx, t)
@@ -263,7 +263,7 @@
 		return operator.Progress{}, err
 	}
 	out := operator.Progress{Target: t, Running: s.used(t.Service, t.Server)}
-	if n, ok := s.board.Get(noticeKey(t.Service, t.Server)); ok && n.Leaving {
+	if n, ok := s.notices.Get(noticeKey(t.Service, t.Server)); ok && n.Leaving {
 		out.Draining, out.Since = true, unit.Duration(max(time.Since(n.Since), 0))
 		out.Done = out.Running == 0
 	}
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -79,7 +79,7 @@
 	copy(out.Servers, f.Servers)
 	for i := range out.Servers {
 		s := &out.Servers[i]
-		if n, ok := d.board.Get(noticeKey(f.Service, s.Name)); ok {
+		if n, ok := d.notices.Get(noticeKey(f.Service, s.Name)); ok {
 			s.Leaving = n.Leaving
 		}
 	}
