--- a/internal/membership/beat.go
+++ b/internal/membership/beat.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/pkg/unit"
 )
 
-const maxHeard = 1024
+const maxObserved = 1024
 
 type (
 	// Own is the state that an entry reports of itself.
@@ -57,8 +57,8 @@
 	if b.Instance == "" || b.Incarnation == 0 {
 		return eris.New("beat without a sender")
 	}
-	if len(b.Observed) > maxHeard {
-		return eris.Errorf("beat names %d entries, want at most %d", len(b.Observed), maxHeard)
+	if len(b.Observed) > maxObserved {
+		return eris.Errorf("beat names %d entries, want at most %d", len(b.Observed), maxObserved)
 	}
 	for _, h := range b.Observed {
 		if h.Instance == "" || h.Age < 0 || h.Age.Std() > 24*time.Hour {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -22,8 +22,8 @@
 // the platform ([Member.Lookup]). Messages are sent only to an entry that was
 // received directly and that receives this entry's heartbeats
 // ([Member.Mutual]). The duties of an entry may be taken over only if the
-// platform lists it as gone ([Member.Listed]), together with the lease's term:
-// missing heartbeats don't prove that its process has ended.
+// platform lists it as gone ([Member.Listed]), and under a new term of its
+// lease: missing heartbeats don't prove that its process has ended.
 //
 // # Usage
 //
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -75,8 +75,8 @@
 	return m.Lookup()
 }
 
-// count returns the number of pairs of entries (i, j) selected by pick for which
-// entry j has the state want in the table of entry i.
+// count returns the number of pairs of entries (i, j) selected by pick for
+// which entry j has the state want in the table of entry i.
 func (f *fleet) count(want lookup.State, pick func(i, j int) bool) int {
 	n := 0
 	for i := range entries {
@@ -105,15 +105,15 @@
 	})
 }
 
-// 10% of the messages and 10% of the answers are lost, and one entry at a time
-// pauses for 1 s every 5 s.
+// TestMessageLossAndShortPausesMarkNoEntryDown loses 10% of the messages and
+// 10% of the answers, and pauses one entry at a time for 1 s every 5 s.
 func TestMessageLossAndShortPausesMarkNoEntryDown(t *testing.T) {
 	runFleet(t, func(is *is.I, _ context.Context, f *fleet) {
 		r, pick := rand.New(rand.NewPCG(1, 1)), rand.New(rand.NewPCG(1, 2))
 		f.network.SetHook(func(peers.Message) peers.Delivery {
 			return peers.Delivery{Lost: r.IntN(10) == 0, AnswerLost: r.IntN(10) == 0, Delay: 12 * time.Millisecond}
 		})
-		for begun := time.Now(); time.Since(begun) < 40*time.Second; {
+		for started := time.Now(); time.Since(started) < 40*time.Second; {
 			i := pick.IntN(entries)
 			f.processes[i].node.Pause()
 			for range 20 {
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestTableTake(t *testing.T) {
+func TestTableApply(t *testing.T) {
 	now := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
 	beat := func(i id.Incarnation, version id.Version) *membership.Beat {
 		return &membership.Beat{Instance: "entry-2", Incarnation: i, Own: membership.Own{Config: config.Ref{Version: version}}}
@@ -255,7 +255,7 @@
 	is.Equal(m.Lookup(), lookup.Down)
 }
 
-func TestBeatToListsOnlyReceiver(t *testing.T) {
+func TestHeartbeatToListsOnlyReceiver(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	a, b := &membership.Table{Self: "a"}, &membership.Table{Self: "b"}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -88,10 +88,10 @@
 	t.ticked = now
 }
 
-// Apply applies a heartbeat received at now, after an exchange that took elapsed.
-// Reports on third entries are applied only from answers, whose age is bounded
-// by elapsed. Take returns false for a heartbeat of an older incarnation, or of
-// this entry itself.
+// Apply applies a heartbeat received at now, after an exchange that took
+// elapsed. Reports on third entries are applied only from answers, whose age is
+// bounded by elapsed. Apply returns false for a heartbeat of an older
+// incarnation, or of this entry itself.
 func (t *Table) Apply(now time.Time, b *Beat, answer bool, elapsed time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,15 +146,15 @@
 	}
 }
 
-// HeartbeatTo returns this entry's heartbeat to another entry. It lists only the
-// receiver, since the receiver of a heartbeat that is not an answer ignores all
-// other reports.
+// HeartbeatTo returns this entry's heartbeat to another entry. It lists only
+// the receiver, since the receiver of a heartbeat that is not an answer ignores
+// all other reports.
 func (t *Table) HeartbeatTo(to id.Instance, now time.Time, incarnation id.Incarnation, own Own) Beat {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := Beat{Instance: t.Self, Incarnation: incarnation, Own: own}
 	if p := t.peers[to]; p != nil {
-		b.Observed = p.heard(nil, to, now)
+		b.Observed = p.appendObservation(nil, to, now)
 	}
 	return b
 }
@@ -165,7 +165,7 @@
 	defer t.mu.Unlock()
 	b := Beat{Instance: t.Self, Incarnation: incarnation, Own: own}
 	for name, p := range t.peers {
-		b.Observed = p.heard(b.Observed, name, now)
+		b.Observed = p.appendObservation(b.Observed, name, now)
 	}
 	return b
 }
@@ -211,9 +211,9 @@
 	return p
 }
 
-// heard appends a report on the named entry if a heartbeat was received
-// directly from it within Timeout.
-func (p *peerState) heard(dst []Observation, name id.Instance, now time.Time) []Observation {
+// appendObservation appends a report on the named entry if a heartbeat was
+// received directly from it within Timeout.
+func (p *peerState) appendObservation(dst []Observation, name id.Instance, now time.Time) []Observation {
 	if !within(p.lastDirect, now) {
 		return dst
 	}
