--- a/internal/lookup/doc.go
+++ b/internal/lookup/doc.go
@@ -14,9 +14,9 @@
 //
 // A site that is [Leaving] or [Down] is in no answer. A site whose state is
 // unknown, because it is missing, stale or from the future, is [Doubtful]: it
-// is listed after all live sites of the same route, so that answers don't become
-// empty when the source of the states fails. If no choice of a block's route is
-// live or doubtful, the default route is used.
+// is listed after all live sites of the same route, so that answers don't
+// become empty when the source of the states fails. If no choice of a block's
+// route is live or doubtful, the default route is used.
 //
 // # Usage
 //
--- a/internal/lookup/state.go
+++ b/internal/lookup/state.go
@@ -22,8 +22,8 @@
 // State determines whether callers may be directed to a site.
 type State uint8
 
-// EffectiveState returns the state to use for a reported one at now: Doubtful if
-// the report is missing, older than limit, from the future, or not a valid
+// EffectiveState returns the state to use for a reported one at now: Doubtful
+// if the report is missing, older than limit, from the future, or not a valid
 // state.
 func EffectiveState(v measured.Value[State], now time.Time, limit time.Duration) State {
 	s, state := v.Read(now, limit)
--- a/internal/lookup/table.go
+++ b/internal/lookup/table.go
@@ -64,8 +64,8 @@
 	}
 )
 
-// Lookup appends the choices for a caller to dst and returns the result: at most
-// MaxChoices, live ones before doubtful ones, each by tier. It appends
+// Lookup appends the choices for a caller to dst and returns the result: at
+// most MaxChoices, live ones before doubtful ones, each by tier. It appends
 // nothing only if neither the route of the caller's block nor the default route
 // has a live or doubtful site. It does not allocate if dst has capacity for
 // MaxChoices more.
@@ -94,8 +94,8 @@
 // Blocks returns the number of client blocks.
 func (t *Table) Blocks() int { return t.blocks.Size() }
 
-// Validity returns how long a caller may use an answer. An entry that shuts down
-// must accept requests for this long after it was last in an answer.
+// Validity returns how long a caller may use an answer. An entry that shuts
+// down must accept requests for this long after it was last in an answer.
 func (t *Table) Validity() time.Duration { return t.validity }
 
 // WithState returns a copy of the table with the state of one site replaced.
--- a/internal/lookup/table_test.go
+++ b/internal/lookup/table_test.go
@@ -99,8 +99,8 @@
 	is.True(err != nil)
 }
 
-// Every lookup must give the same result as a linear search for the longest
-// matching prefix.
+// TestLookupUsesLongestPrefix compares lookups with a linear search for the
+// longest matching prefix.
 func TestLookupUsesLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := lookup.Builder{
