--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// due returns, in random order, the servers to probe now, and removes those that
-// are no longer configured. A new server is due within one roundInterval.
+// due returns, in random order, the servers to probe now, and removes those
+// that are no longer configured. A new server is due within one roundInterval.
 func (p *Prober) due(now time.Time) []target {
 	period := p.Period
 	if period == 0 {
@@ -116,22 +116,22 @@
 }
 
 func (p *Prober) probeServer(ctx context.Context, t target) {
-	asked := time.Now()
+	sentAt := time.Now()
 	status, _, err := p.get(ctx, t, "/health")
 	if ctx.Err() != nil {
 		return
 	}
-	p.Probed(t.service, t.server, measured.At(err == nil && status == http.StatusOK, asked))
+	p.Probed(t.service, t.server, measured.At(err == nil && status == http.StatusOK, sentAt))
 	if err != nil {
 		return
 	}
-	asked = time.Now()
+	sentAt = time.Now()
 	status, body, err := p.get(ctx, t, "/load")
 	var l load
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &l) != nil {
 		return
 	}
-	p.Reported(t.service, t.server, measured.At(health.Report{Slots: l.Slots, Running: l.Running, Refuses: l.Draining}, asked))
+	p.Reported(t.service, t.server, measured.At(health.Report{Slots: l.Slots, Running: l.Running, Refuses: l.Draining}, sentAt))
 }
 
 func (p *Prober) get(ctx context.Context, t target, path string) (int, []byte, error) {
--- a/internal/probe/prober_test.go
+++ b/internal/probe/prober_test.go
@@ -64,10 +64,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var got results
 	file := &service.File{Service: "registry", Servers: []service.Server{{Name: "b-1", Address: address}}}
-	asked := 0
+	calls := 0
 	p := probe.Prober{
 		Services: func() []*service.File {
-			if asked++; asked > 1 {
+			if calls++; calls > 1 {
 				cancel() // the first round has ended
 			}
 			return []*service.File{file}
