--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,5 +1,5 @@
-// Package operator implements the HTTP API for operators, with JSON answers, and
-// the client that the command line uses.
+// Package operator implements the HTTP API for operators, with JSON answers,
+// and the client that the command line uses.
 //
 // A [Handler] answers from a [Source], which the daemon implements. Every
 // request except /livez and /readyz needs a bearer token whose SHA-256 is in
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -29,7 +29,7 @@
 		NotReady string `json:"notReady,omitempty"`
 		// Leaving reports whether it is shutting down.
 		Leaving bool `json:"leaving"`
-		// Store is the age of the last answer of the platform's store.
+		// Store is the freshness of the last answer of the platform's store.
 		Store Freshness `json:"store"`
 		// Instances lists the entries.
 		Instances []InstanceStatus `json:"instances"`
@@ -39,7 +39,7 @@
 		Services []ServiceStatus `json:"services"`
 	}
 
-	// Freshness is the age of a measurement.
+	// Freshness is the state and the age of a measurement.
 	Freshness struct {
 		// State is fresh, stale, missing or future.
 		State string `json:"state"`
@@ -60,7 +60,7 @@
 		State string `json:"state"`
 		// Version is the version of its active configuration.
 		Version id.Version `json:"version"`
-		// Seen is the age of its last heartbeat.
+		// Seen is the freshness of its last heartbeat.
 		Seen Freshness `json:"seen"`
 	}
 
@@ -74,7 +74,7 @@
 		Budget unit.BitRate `json:"budget"`
 		// Used is the bandwidth in use.
 		Used unit.BitRate `json:"used"`
-		// Seen is the age of Used.
+		// Seen is the freshness of Used.
 		Seen Freshness `json:"seen"`
 	}
 
@@ -114,7 +114,7 @@
 		Used int `json:"used"`
 		// Home is the entry that grants its slots; empty if unknown.
 		Home id.Instance `json:"home,omitempty"`
-		// Seen is the age of its last load report.
+		// Seen is the freshness of its last load report.
 		Seen Freshness `json:"seen"`
 	}
 
