--- a/internal/servicefiles/read_test.go
+++ b/internal/servicefiles/read_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotpier/shallotpier/internal/servicefiles"
 )
 
-func TestFiles(t *testing.T) {
+func TestRead(t *testing.T) {
 	registry, err := os.ReadFile("../../examples/beridze/services/registry.service.toml")
 	if err != nil {
 		t.Fatal(err)
