--- a/internal/shutdown/sequence_test.go
+++ b/internal/shutdown/sequence_test.go
@@ -27,12 +27,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			stop := shutdown.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
+			seq := shutdown.Sequence{Validity: 10 * time.Second, Propagation: 3 * time.Second}
 			if tt.begun {
-				stop.Begin(start)
-				stop.Begin(start.Add(time.Minute)) // a second call has no effect
+				seq.Begin(start)
+				seq.Begin(start.Add(time.Minute)) // a second call has no effect
 			}
-			is.Equal(stop.Phase(start.Add(tt.after), tt.running), tt.want)
+			is.Equal(seq.Phase(start.Add(tt.after), tt.running), tt.want)
 		})
 	}
 }
@@ -40,8 +40,8 @@
 func TestSequenceStaysDone(t *testing.T) {
 	is := is.New(t)
 	start := time.Date(2026, 12, 3, 22, 0, 0, 0, time.UTC)
-	var stop shutdown.Sequence
-	stop.Begin(start)
-	is.Equal(stop.Phase(start, 0), shutdown.Done)
-	is.Equal(stop.Phase(start, 1), shutdown.Done)
+	var seq shutdown.Sequence
+	seq.Begin(start)
+	is.Equal(seq.Phase(start, 0), shutdown.Done)
+	is.Equal(seq.Phase(start, 1), shutdown.Done)
 }
