--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -97,8 +97,8 @@
 	}
 )
 
-// Load reads and validates a settings file and the deployment file that it names.
-// The error is a *service.FileError.
+// Load reads and validates a settings file and the deployment file that it
+// names. The error is a *service.FileError.
 func Load(path string) (*Settings, error) {
 	data, err := read(path)
 	if err != nil {
