--- a/internal/launch/daemon.go
+++ b/internal/launch/daemon.go
@@ -30,7 +30,8 @@
 }
 
 // Main runs the daemon and returns the exit code: 0 after a complete graceful
-// shutdown, 1 after a failure or a second signal, 2 for invalid flags or settings.
+// shutdown, 1 after a failure or a second signal, 2 for invalid flags or
+// settings.
 func (d *Daemon) Main(args []string) int {
 	path, check, err := d.flags(args)
 	if errors.Is(err, flag.ErrHelp) {
--- a/internal/launch/doc.go
+++ b/internal/launch/doc.go
@@ -1,6 +1,6 @@
 // Package launch implements the main functions of shallotpierd and
-// shallotpier-standin. It parses flags, reads files, sets up the log, and begins
-// graceful shutdown on a signal.
+// shallotpier-standin. It parses flags, reads files, sets up the log, and
+// begins graceful shutdown on a signal.
 //
 // # Usage
 //
--- a/internal/launch/signals_internal_test.go
+++ b/internal/launch/signals_internal_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// awaitHandlers relies on the name of a function in go-zero, which may change with
-// a new version of go-zero.
+// awaitHandlers relies on the name of a function in go-zero, which may change
+// with a new version of go-zero.
 func TestAwaitHandlersFindsTheGoroutine(t *testing.T) {
 	is := is.New(t)
 	awaitHandlers()
--- a/internal/launch/standin.go
+++ b/internal/launch/standin.go
@@ -19,9 +19,9 @@
 	Stderr io.Writer
 }
 
-// Main runs the simulated platform and backend servers of a deployment until the
-// process receives a signal. It returns the exit code: 0 after a signal, 1 if
-// starting or stopping failed, 2 for invalid flags or files.
+// Main runs the simulated platform and backend servers of a deployment until
+// the process receives a signal. It returns the exit code: 0 after a signal, 1
+// if starting or stopping failed, 2 for invalid flags or files.
 func (s *StandIn) Main(args []string) int {
 	flags := flag.NewFlagSet("shallotpier-standin", flag.ContinueOnError)
 	flags.SetOutput(s.Stderr)
