--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,11 +1,11 @@
-// Package httpserver serves HTTP through go-zero's rest package. For processes with
-// several listeners, it adds support for port 0, an error instead of a panic if
-// the address is not available, header and idle timeouts, a connection limit, and
-// a shutdown that does not affect other servers.
+// Package httpserver serves HTTP through go-zero's rest package. For processes
+// with several listeners, it adds support for port 0, an error instead of a
+// panic if the address is not available, header and idle timeouts, a connection
+// limit, and a shutdown that does not affect other servers.
 //
-// All of rest's middlewares are disabled: the entry has its own policies for load
-// shedding, circuit breaking and timeouts, and a second set of policies would
-// make results unpredictable.
+// All of rest's middlewares are disabled: the entry has its own policies for
+// load shedding, circuit breaking and timeouts, and a second set of policies
+// would make results unpredictable.
 //
 // # Usage
 //
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	defaultHeaderTime = 10 * time.Second
-	defaultIdleTime   = 2 * time.Minute
-	maxHeader         = 64 << 10
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 2 * time.Minute
+	maxHeaderBytes       = 64 << 10
 )
 
 type (
@@ -31,8 +31,8 @@
 		// HeaderTimeout is the time limit for receiving a request's header; 0
 		// means 10 s.
 		HeaderTimeout time.Duration
-		// IdleTimeout is how long a connection without a request is kept open; 0
-		// means 2 minutes.
+		// IdleTimeout is how long a connection without a request is kept open;
+		// 0 means 2 minutes.
 		IdleTimeout time.Duration
 		// MaxConnections is the limit on open connections; further ones are
 		// closed at once. 0 means no limit.
@@ -52,8 +52,8 @@
 	router struct{ http.Handler }
 )
 
-// Start listens and serves in the background. It returns once the server listens,
-// or an error if it can't.
+// Start listens and serves in the background. It returns once the server
+// listens, or an error if it can't.
 func (s *Server) Start() error {
 	conf := rest.RestConf{Host: s.Address.Addr().String(), Port: int(s.Address.Port())}
 	conf.Mode = service.PreMode // disables process-wide load shedding and statistics
@@ -73,8 +73,8 @@
 	}
 }
 
-// Shutdown closes the listener and waits until all running requests have ended or
-// ctx ends.
+// Shutdown closes the listener and waits until all running requests have ended
+// or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return eris.Wrap(s.server.Shutdown(ctx), "shut down")
 }
@@ -104,14 +104,14 @@
 }
 
 func (s *Server) configure(server *http.Server) {
-	server.MaxHeaderBytes = maxHeader
+	server.MaxHeaderBytes = maxHeaderBytes
 	server.ReadHeaderTimeout = s.HeaderTimeout
 	if s.HeaderTimeout == 0 {
-		server.ReadHeaderTimeout = defaultHeaderTime
+		server.ReadHeaderTimeout = defaultHeaderTimeout
 	}
 	server.IdleTimeout = s.IdleTimeout
 	if s.IdleTimeout == 0 {
-		server.IdleTimeout = defaultIdleTime
+		server.IdleTimeout = defaultIdleTimeout
 	}
 	server.ConnContext = s.ConnContext
 	if s.MaxConnections > 0 {
@@ -121,8 +121,8 @@
 	s.server = server
 }
 
-// trackConn counts open connections and closes those over the limit, which are not
-// counted.
+// trackConn counts open connections and closes those over the limit, which are
+// not counted.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
