--- a/internal/publish/difference.go
+++ b/internal/publish/difference.go
@@ -10,8 +10,8 @@
 	"github.com/shallotpier/shallotpier/pkg/service"
 )
 
-// maxListedKeys is the largest number of added or removed keys of a service that
-// a summary lists one by one: half a screen.
+// maxListedKeys is the largest number of added or removed keys of a service
+// that a summary lists one by one: half a screen.
 const maxListedKeys = 12
 
 type (
--- a/internal/publish/publication.go
+++ b/internal/publish/publication.go
@@ -57,8 +57,8 @@
 	plain Publication
 )
 
-// UnmarshalJSON decodes and validates a publication. Unknown keys are ignored, so
-// that an entry of an older release can read publications of a newer one.
+// UnmarshalJSON decodes and validates a publication. Unknown keys are ignored,
+// so that an entry of an older release can read publications of a newer one.
 func (p *Publication) UnmarshalJSON(data []byte) error {
 	if err := json.Unmarshal(data, (*plain)(p)); err != nil {
 		return err
--- a/internal/publish/publisher.go
+++ b/internal/publish/publisher.go
@@ -125,11 +125,11 @@
 	}
 }
 
-// Find returns the outcome of a submission, even if its publisher has crashed. It
-// polls the store until the outcome is certain. If ctx ends first, the outcome is
-// result.NotYetKnown: the active version is older than the ticket's, so that the
-// write may still be in flight, or the ticket's version is no longer kept, or
-// the store is unavailable.
+// Find returns the outcome of a submission, even if its publisher has crashed.
+// It polls the store until the outcome is certain. If ctx ends first, the
+// outcome is result.NotYetKnown: the active version is older than the ticket's,
+// so that the write may still be in flight, or the ticket's version is no
+// longer kept, or the store is unavailable.
 func (p *Publisher) Find(ctx context.Context, t Ticket) *Outcome {
 	for {
 		if o := p.find(ctx, t, nil); o != nil {
@@ -187,7 +187,8 @@
 	return append(all, current), nil
 }
 
-// readBase reads the active publication into d and sets version to the next one.
+// readBase reads the active publication into d and sets version to the next
+// one.
 func (p *Publisher) readBase(ctx context.Context, d *Draft, version *id.Version) error {
 	o, err := p.Store.Get(ctx, CurrentKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -280,8 +281,8 @@
 	}
 }
 
-// staleBase returns the outcome of a submission that is based on a version other
-// than the active one.
+// staleBase returns the outcome of a submission that is based on a version
+// other than the active one.
 func (p *Publisher) staleBase(ctx context.Context, base id.Version, current *Publication) *Outcome {
 	o := &Outcome{Code: result.Overtaken, Ticket: Ticket{Version: base + 1}, Winner: current}
 	if old, err := p.Version(ctx, base); err == nil {
@@ -307,7 +308,8 @@
 	return store.IfVersion(d.base.Version)
 }
 
-// undecided returns the outcome when ctx ends before the store has confirmed one.
+// undecided returns the outcome when ctx ends before the store has confirmed
+// one.
 func (d *Draft) undecided(cause error) *Outcome {
 	o := &Outcome{Code: result.StoreUnavailable, Ticket: d.Ticket, Cause: cause.Error()}
 	if d.ambiguous {
--- a/internal/publish/publisher_test.go
+++ b/internal/publish/publisher_test.go
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestOutcomeAgreesWithStoreForFaultAtEveryCall injects a fault at each store call
-// of one publisher, with and without a crash of the publisher at that call, while
-// others publish.
+// TestOutcomeAgreesWithStoreForFaultAtEveryCall injects a fault at each store
+// call of one publisher, with and without a crash of the publisher at that
+// call, while others publish.
 func TestOutcomeAgreesWithStoreForFaultAtEveryCall(t *testing.T) {
 	faults := map[string]platform.Fault{
 		"down":        {Down: true},
--- a/internal/publish/rules.go
+++ b/internal/publish/rules.go
@@ -61,8 +61,8 @@
 	return problems
 }
 
-// checkDrain finds classes whose requests may run longer than the drain time of a
-// leaving server.
+// checkDrain finds classes whose requests may run longer than the drain time of
+// a leaving server.
 func (r Rules) checkDrain(f *service.File) []Problem {
 	var problems []Problem
 	for i := range f.Classes {
@@ -74,7 +74,8 @@
 	return problems
 }
 
-// checkCap finds shift caps that allow less than one request per entry in a window.
+// checkCap finds shift caps that allow less than one request per entry in a
+// window.
 func (r Rules) checkCap(f *service.File) []Problem {
 	requests := float64(f.ShiftCap.Rise) * f.ShiftCap.Window.Std().Seconds()
 	if r.Entries == 0 || requests >= float64(r.Entries) {
