--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -9,7 +9,7 @@
 // Every call has one of five results, which the calling code must distinguish:
 // success; [ErrNotFound]; [ErrConflict], the condition did not hold and nothing
 // was written; [ErrUnavailable], nothing was written; [ErrAmbiguous], a write
-// may have taken effect, so that the writer has to read the object back.
+// may have taken effect, so the writer has to read the object back.
 //
 // # Usage
 //
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -31,5 +31,6 @@
 	}
 )
 
-// ErrCompacted means that the store has discarded some of the requested changes.
+// ErrCompacted means that the store has discarded some of the requested
+// changes.
 var ErrCompacted = eris.New("history of the store has been compacted")
--- a/internal/store/httpstore/client.go
+++ b/internal/store/httpstore/client.go
@@ -33,7 +33,7 @@
 		Base string
 		// HTTP makes the calls; nil means http.DefaultClient.
 		HTTP *http.Client
-		// Timeout bounds a call; a watch may take as long after its wait. 0
+		// Timeout limits the duration of a call, and of a watch beyond Wait; 0
 		// means 2 s.
 		Timeout time.Duration
 		// Wait is how long the store holds a watch without a change; 0 means
@@ -99,8 +99,8 @@
 	return all, nil
 }
 
-// Watch returns the object under key as soon as its version differs from seen, and
-// ErrUnavailable when the store ends the wait without a change.
+// Watch returns the object under key as soon as its version differs from seen,
+// and ErrUnavailable when the store ends the wait without a change.
 func (c *Client) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
 	wait := c.Wait
 	if wait == 0 {
@@ -149,8 +149,8 @@
 	}
 }
 
-// call sends a request and also reports, even on failure, whether a connection was
-// available to send it.
+// call sends a request and also reports, even on failure, whether a connection
+// was available to send it.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, value []byte, limit int64) (answer, bool, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/internal/store/httpstore/doc.go
+++ b/internal/store/httpstore/doc.go
@@ -5,8 +5,8 @@
 // no connection was available for the write or the store rejected it with
 // status 429, and store.ErrAmbiguous for every other failure without a final
 // answer, such as a reset, a timeout or a 5xx status. It never retries a write.
-// It uses net/http without a circuit breaker, which would reject calls at random
-// although the code that calls the store already limits its rate.
+// It uses net/http without a circuit breaker, which would reject calls at
+// random although the code that calls the store already limits its rate.
 //
 // # Usage
 //
--- a/internal/store/observed/doc.go
+++ b/internal/store/observed/doc.go
@@ -1,5 +1,5 @@
-// Package observed wraps the platform's store, counts the calls to it and records
-// since when it has been failing.
+// Package observed wraps the platform's store, counts the calls to it and
+// records since when it has been failing.
 //
 // # Usage
 //
--- a/internal/store/observed/store.go
+++ b/internal/store/observed/store.go
@@ -59,7 +59,8 @@
 // Reads returns the number of calls that count towards the store's read limit.
 func (c Calls) Reads() int { return c.Gets + c.Lists + c.Watches }
 
-// Writes returns the number of calls that count towards the store's write limit.
+// Writes returns the number of calls that count towards the store's write
+// limit.
 func (c Calls) Writes() int { return c.Puts + c.Deletes }
 
 // Report returns the counts and availability so far.
@@ -101,8 +102,8 @@
 	return all, err
 }
 
-// Watch returns the object under key as soon as its version differs from seen. The
-// error doesn't distinguish a watch that ends without a change from an
+// Watch returns the object under key as soon as its version differs from seen.
+// The error doesn't distinguish a watch that ends without a change from an
 // unavailable store, so store.ErrUnavailable is recorded neither as an answer
 // nor as a failure.
 func (s *Store) Watch(ctx context.Context, key string, seen store.Version) (store.Object, error) {
