--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -121,13 +121,13 @@
 func (c *Client) Lookup(ctx context.Context, service id.Service) (*lookup.Answer, error) {
 	c.initialize()
 	c.mu.Lock()
-	k, now := c.services[service], time.Now()
+	cached, now := c.services[service], time.Now()
 	c.mu.Unlock()
-	if k != nil && now.Before(k.expires) {
-		return &k.answer, nil
+	if cached != nil && now.Before(cached.expires) {
+		return &cached.answer, nil
 	}
 	err := errors.New("no entry addresses are known")
-	for _, addr := range c.addresses(k) {
+	for _, addr := range c.addresses(cached) {
 		var a *lookup.Answer
 		if a, err = c.fetchLookup(ctx, addr, service); err == nil && c.cache(a, now) {
 			return a, nil
@@ -136,8 +136,8 @@
 			break
 		}
 	}
-	if k != nil && len(k.answer.Entries) > 0 {
-		return &k.answer, nil // expired, but better than none
+	if cached != nil && len(cached.answer.Entries) > 0 {
+		return &cached.answer, nil // expired, but better than none
 	}
 	if err == nil {
 		err = errors.New("all entries answered with an older configuration version than one seen before")
@@ -147,11 +147,11 @@
 
 // addresses lists the addresses for a lookup: those of the last answer, then the
 // seeds.
-func (c *Client) addresses(k *cachedAnswer) []netip.AddrPort {
+func (c *Client) addresses(cached *cachedAnswer) []netip.AddrPort {
 	var all []netip.AddrPort
-	if k != nil {
-		for i := range k.answer.Entries {
-			all = append(all, k.answer.Entries[i].Address)
+	if cached != nil {
+		for i := range cached.answer.Entries {
+			all = append(all, cached.answer.Entries[i].Address)
 		}
 	}
 	return append(all, c.Entries...)
@@ -162,8 +162,8 @@
 func (c *Client) cache(a *lookup.Answer, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.services[a.Service]
-	if k != nil && a.Version < k.version {
+	cached := c.services[a.Service]
+	if cached != nil && a.Version < cached.version {
 		return false
 	}
 	c.services[a.Service] = &cachedAnswer{answer: *a, expires: now.Add(a.Valid()), version: a.Version}
@@ -173,8 +173,8 @@
 func (c *Client) version(service id.Service) id.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k := c.services[service]; k != nil {
-		return k.version
+	if cached := c.services[service]; cached != nil {
+		return cached.version
 	}
 	return 0
 }
@@ -183,8 +183,8 @@
 func (c *Client) invalidate(service id.Service) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k := c.services[service]; k != nil {
-		next := *k
+	if cached := c.services[service]; cached != nil {
+		next := *cached
 		next.expires = time.Time{}
 		c.services[service] = &next
 	}
