--- a/pkg/id/id.go
+++ b/pkg/id/id.go
@@ -21,8 +21,8 @@
 	Region string
 	// Version numbers an accepted configuration. It only increases; 0 means none.
 	Version uint64
-	// Term is the fencing token of a lease: each new holder gets a higher one; 0
-	// means none.
+	// Term is the fencing token of a lease. It only increases: each new holder
+	// gets a higher one; 0 means none.
 	Term uint64
 	// Incarnation distinguishes a process from earlier processes of the same
 	// instance. A later start has a higher number; 0 means unknown.
