--- a/pkg/result/codes.go
+++ b/pkg/result/codes.go
@@ -49,7 +49,9 @@
 	// EntryLeaving means that the entry is shutting down and accepts no new
 	// requests.
 	EntryLeaving Code = 2018
-	// NotReady means that the entry has no active configuration.
+	// NotReady means that the entry has no configuration that it may serve: none
+	// is active, or the caller has seen a newer version. It is also the result of
+	// a lookup for which no entry is available.
 	NotReady Code = 2019
 	// TicketMissing means that an at-most-once request has no ticket.
 	TicketMissing Code = 2020
