--- a/pkg/service/check.go
+++ b/pkg/service/check.go
@@ -24,8 +24,8 @@
 func (f *File) Check() *FileError {
 	checks := []func() *FileError{f.checkHead, f.checkRegions, f.checkClasses, f.checkServers}
 	for _, check := range checks {
-		if p := check(); p != nil {
-			return p
+		if e := check(); e != nil {
+			return e
 		}
 	}
 	return nil
@@ -55,8 +55,8 @@
 	}
 	seen := map[id.Region]bool{}
 	for i, r := range f.Regions {
-		if p := r.check(); p != nil {
-			return p.At(i)
+		if e := r.check(); e != nil {
+			return e.At(i)
 		}
 		if seen[r.Name] {
 			return impossible("regions.name", "duplicate name %q", r.Name).At(i)
@@ -85,8 +85,8 @@
 	seen := map[id.Class]bool{}
 	for i := range f.Classes {
 		c := &f.Classes[i]
-		if p := c.check(); p != nil {
-			return p.At(i)
+		if e := c.check(); e != nil {
+			return e.At(i)
 		}
 		if seen[c.Name] {
 			return impossible("classes.name", "duplicate name %q", c.Name).At(i)
@@ -121,8 +121,8 @@
 	seen := map[id.Server]bool{}
 	for i := range f.Servers {
 		s := &f.Servers[i]
-		if p := s.check(); p != nil {
-			return p.At(i)
+		if e := s.check(); e != nil {
+			return e.At(i)
 		}
 		if seen[s.Name] {
 			return impossible("servers.name", "duplicate name %q", s.Name).At(i)
@@ -158,7 +158,7 @@
 
 // At sets Item, the index in the list that the key's first part names, and
 // returns the error.
-func (p *FileError) At(item int) *FileError {
-	p.Item = item
-	return p
+func (e *FileError) At(item int) *FileError {
+	e.Item = item
+	return e
 }
--- a/pkg/service/locate.go
+++ b/pkg/service/locate.go
@@ -8,16 +8,16 @@
 
 // Locate sets File and Line and returns the error. The line is that of the key,
 // else of the table that should contain it, else 1.
-func (p *FileError) Locate(name string, data []byte) *FileError {
-	p.File = name
-	l := locator{key: p.Key, item: p.Item, seen: -1}
+func (e *FileError) Locate(name string, data []byte) *FileError {
+	e.File = name
+	l := locator{key: e.Key, item: e.Item, seen: -1}
 	parser := unstable.Parser{}
 	parser.Reset(data)
 	for parser.NextExpression() {
 		l.visit(&parser, parser.Expression())
 	}
-	p.Line = max(l.line, 1)
-	return p
+	e.Line = max(l.line, 1)
+	return e
 }
 
 // locator finds the line of a dotted key, or of the longest prefix of it that the
--- a/pkg/service/parse.go
+++ b/pkg/service/parse.go
@@ -30,15 +30,15 @@
 }
 
 // Error formats the error as "file:line: key: text (code N)".
-func (p *FileError) Error() string {
-	where := p.File
-	if p.Line > 0 {
-		where = fmt.Sprintf("%s:%d", p.File, p.Line)
+func (e *FileError) Error() string {
+	where := e.File
+	if e.Line > 0 {
+		where = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
-	if p.Key != "" {
-		where += ": " + p.Key
+	if e.Key != "" {
+		where += ": " + e.Key
 	}
-	return fmt.Sprintf("%s: %s (code %d)", where, p.Text, p.Code)
+	return fmt.Sprintf("%s: %s (code %d)", where, e.Text, e.Code)
 }
 
 // Parse decodes and validates a service file; name is the file's name in errors.
@@ -48,8 +48,8 @@
 	if err := Decode(name, data, file); err != nil {
 		return nil, err
 	}
-	if p := file.Check(); p != nil {
-		return nil, p.Locate(name, data)
+	if e := file.Check(); e != nil {
+		return nil, e.Locate(name, data)
 	}
 	return file, nil
 }
@@ -60,8 +60,8 @@
 // not validate dst further. The error is a *FileError with file, line and key;
 // line and key are missing if the document could not be read.
 func Decode(name string, data []byte, dst any) error {
-	if p := checkStrict(name, data, reflect.TypeOf(dst).Elem()); p != nil {
-		return p
+	if e := checkStrict(name, data, reflect.TypeOf(dst).Elem()); e != nil {
+		return e
 	}
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
--- a/pkg/service/parse_test.go
+++ b/pkg/service/parse_test.go
@@ -80,13 +80,13 @@
 			is := is.New(t)
 			is.Equal(strings.Count(example, tt.old), 1) // the replaced text is unique
 			_, err := service.Parse("registry.toml", []byte(strings.Replace(example, tt.old, tt.new, 1)))
-			var p *service.FileError
-			is.True(errors.As(err, &p))
-			t.Log(p)
-			is.Equal(p.File, "registry.toml")
-			is.Equal(p.Line, tt.line)
-			is.Equal(p.Key, tt.key)
-			is.Equal(p.Code, tt.code)
+			var e *service.FileError
+			is.True(errors.As(err, &e))
+			t.Log(e)
+			is.Equal(e.File, "registry.toml")
+			is.Equal(e.Line, tt.line)
+			is.Equal(e.Key, tt.key)
+			is.Equal(e.Code, tt.code)
 		})
 	}
 }
@@ -106,11 +106,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			err := service.Decode("f.toml", []byte(tt.give), new(service.File))
-			var p *service.FileError
-			is.True(errors.As(err, &p))
-			is.Equal(p.Line, tt.line)
-			is.Equal(p.Key, tt.key)
-			is.Equal(p.Code, tt.code)
+			var e *service.FileError
+			is.True(errors.As(err, &e))
+			is.Equal(e.Line, tt.line)
+			is.Equal(e.Key, tt.key)
+			is.Equal(e.Code, tt.code)
 		})
 	}
 }
--- a/pkg/service/strict.go
+++ b/pkg/service/strict.go
@@ -25,8 +25,8 @@
 	s := strictChecker{file: file, table: root}
 	s.parser.Reset(data)
 	for s.parser.NextExpression() {
-		if p := s.checkExpression(s.parser.Expression(), root); p != nil {
-			return p
+		if e := s.checkExpression(s.parser.Expression(), root); e != nil {
+			return e
 		}
 	}
 	return nil
@@ -40,15 +40,15 @@
 	if first == nil {
 		return nil
 	}
-	t, p := s.descend(root, "", n)
+	t, e := s.descend(root, "", n)
 	s.table, s.prefix = t, name+"."
-	return p
+	return e
 }
 
 func (s *strictChecker) checkKeyValue(table reflect.Type, prefix string, n *unstable.Node) *FileError {
-	t, p := s.descend(table, prefix, n)
-	if p != nil || t == nil {
-		return p
+	t, e := s.descend(table, prefix, n)
+	if e != nil || t == nil {
+		return e
 	}
 	name, first := dottedKey(n)
 	return s.checkValue(t, prefix+name, s.line(first), n.Value())
@@ -60,14 +60,14 @@
 		return s.checkText(t, key, line, n)
 	case n.Kind == unstable.Array && isList(t):
 		for it := n.Children(); it.Next(); {
-			if p := s.checkValue(t.Elem(), key, line, it.Node()); p != nil {
-				return p
+			if e := s.checkValue(t.Elem(), key, line, it.Node()); e != nil {
+				return e
 			}
 		}
 	case n.Kind == unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
-			if p := s.checkKeyValue(t, key+".", it.Node()); p != nil {
-				return p
+			if e := s.checkKeyValue(t, key+".", it.Node()); e != nil {
+				return e
 			}
 		}
 	}
@@ -75,18 +75,18 @@
 }
 
 func (s *strictChecker) checkText(t reflect.Type, key string, line int, n *unstable.Node) *FileError {
-	p := &FileError{File: s.file, Line: line, Key: key, Code: result.WrongType}
+	e := &FileError{File: s.file, Line: line, Key: key, Code: result.WrongType}
 	if n.Kind != unstable.String {
-		p.Text = "want a string in quotes"
-		return p
+		e.Text = "want a string in quotes"
+		return e
 	}
 	v, ok := reflect.New(t).Interface().(encoding.TextUnmarshaler)
 	if !ok {
 		return nil
 	}
 	if err := v.UnmarshalText(n.Data); err != nil {
-		p.Text = err.Error()
-		return p
+		e.Text = err.Error()
+		return e
 	}
 	return nil
 }
