--- a/pkg/deployment/deployment.go
+++ b/pkg/deployment/deployment.go
@@ -78,8 +78,8 @@
 	if err := service.Decode(name, data, d); err != nil {
 		return nil, err
 	}
-	if p := d.Check(); p != nil {
-		return nil, p.Locate(name, data)
+	if e := d.Check(); e != nil {
+		return nil, e.Locate(name, data)
 	}
 	return d, nil
 }
@@ -130,8 +130,8 @@
 		return fileError(result.MissingValue, "name", "a value is required")
 	}
 	for _, check := range []func() *service.FileError{d.checkRegions, d.checkLinks, d.checkEntries} {
-		if p := check(); p != nil {
-			return p
+		if e := check(); e != nil {
+			return e
 		}
 	}
 	return nil
--- a/pkg/deployment/deployment_test.go
+++ b/pkg/deployment/deployment_test.go
@@ -100,12 +100,12 @@
 			is := is.New(t)
 			is.True(strings.Contains(string(data), tt.old))
 			_, err := deployment.Parse("d.toml", []byte(strings.Replace(string(data), tt.old, tt.new, 1)))
-			var p *service.FileError
-			is.True(errors.As(err, &p))
-			t.Log(p)
-			is.Equal(p.Line, tt.line)
-			is.Equal(p.Key, tt.key)
-			is.Equal(p.Code, tt.code)
+			var e *service.FileError
+			is.True(errors.As(err, &e))
+			t.Log(e)
+			is.Equal(e.Line, tt.line)
+			is.Equal(e.Key, tt.key)
+			is.Equal(e.Code, tt.code)
 		})
 	}
 }
