--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -99,9 +99,9 @@
 }
 
 func checkLocations(f servicefiles.File, dep *deployment.Deployment) error {
-	problem := func(key string, item int, text string) error {
-		p := &service.FileError{Key: key, Item: item, Code: result.ImpossibleValue, Text: text}
-		return p.Locate(f.Path, f.Data)
+	fileError := func(key string, item int, text string) error {
+		e := &service.FileError{Key: key, Item: item, Code: result.ImpossibleValue, Text: text}
+		return e.Locate(f.Path, f.Data)
 	}
 	regions := map[id.Region]bool{}
 	for _, r := range dep.Regions {
@@ -109,12 +109,12 @@
 	}
 	for i, r := range f.Parsed.Regions {
 		if !regions[r.Name] {
-			return problem("regions.name", i, fmt.Sprintf("%q is not in deployment %s", r.Name, dep.Name))
+			return fileError("regions.name", i, fmt.Sprintf("%q is not in deployment %s", r.Name, dep.Name))
 		}
 	}
 	for i, s := range f.Parsed.Servers {
 		if _, ok := dep.Region(s.Zone); !ok {
-			return problem("servers.zone", i, fmt.Sprintf("%q of backend server %s is not in deployment %s", s.Zone, s.Name, dep.Name))
+			return fileError("servers.zone", i, fmt.Sprintf("%q of backend server %s is not in deployment %s", s.Zone, s.Name, dep.Name))
 		}
 	}
 	return nil
--- a/internal/cli/platform.go
+++ b/internal/cli/platform.go
@@ -73,12 +73,12 @@
 	s := &platformStatus{}
 	client := &http.Client{Timeout: entryTimeout}
 	for _, address := range all {
-		b, err := entryview.Fetch(ctx, client, address)
+		v, err := entryview.Fetch(ctx, client, address)
 		if err != nil {
 			s.Unreachable = append(s.Unreachable, fmt.Sprintf("%s: %v", address, err))
 			continue
 		}
-		s.Entries = append(s.Entries, b)
+		s.Entries = append(s.Entries, v)
 	}
 	if len(s.Entries) > 0 {
 		s.Differences = entryview.Differences(s.Entries)
@@ -119,32 +119,32 @@
 		return usagef("log: %s", err)
 	}
 	defer func() { _ = f.Close() }()
-	s, err := logread.Find(f, request)
+	trace, err := logread.Find(f, request)
 	if err != nil {
 		return eris.Wrapf(err, "log %q", path)
 	}
-	return a.show((*requestTrace)(s))
+	return a.show((*requestTrace)(trace))
 }
 
 type requestTrace logread.Trace
 
-func (s *requestTrace) text(w io.Writer) error { return (*logread.Trace)(s).WriteText(w) }
+func (t *requestTrace) text(w io.Writer) error { return (*logread.Trace)(t).WriteText(w) }
 
 func (s *platformStatus) text(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, tabPadding, ' ', 0)
 	fmt.Fprintln(t, "ENTRY\tZONE\tREADY\tVERSION\tRUNNING\tENTRIES\tSERVERS\tUSABLE\tSTORE")
-	for _, b := range s.Entries {
+	for _, v := range s.Entries {
 		usable, oldest := 0, time.Duration(0)
-		for _, server := range b.Servers {
+		for _, server := range v.Servers {
 			if server.State == entryview.Usable {
 				usable++
 			}
 		}
-		for _, k := range b.Store {
+		for _, k := range v.Store {
 			oldest = max(oldest, k.Age)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%d\t%d of %d\t%d\t%d\t%v ago\n", b.Instance, b.Zone, b.Ready, b.Version, b.Running,
-			len(b.Entries), b.Known, len(b.Servers), usable, oldest.Round(time.Millisecond))
+		fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%d\t%d of %d\t%d\t%d\t%v ago\n", v.Instance, v.Zone, v.Ready, v.Version, v.Running,
+			len(v.Entries), v.Known, len(v.Servers), usable, oldest.Round(time.Millisecond))
 	}
 	for _, line := range s.Unreachable {
 		fmt.Fprintf(t, "did not answer: %s\n", line)
