--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	m := model.Model{Seed: 1, Length: 30 * time.Second, Service: svc, Classes: classes, Entries: 7}
-//	m.At(10*time.Second, func(s *model.Servers) { s.Refuse(0.55) })
+//	m.At(10*time.Second, func(s *model.Servers) { s.SetRejectRatio(0.55) })
 //	report := m.Run()
 //	fmt.Println(report.Credit(10*time.Second, 20*time.Second))
 package model
@@ -138,12 +138,12 @@
 
 	// Report holds the results of all requests as seen by the callers.
 	Report struct {
-		start   time.Time
-		length  time.Duration
-		answers []answer
+		start    time.Time
+		length   time.Duration
+		outcomes []outcome
 	}
 
-	answer struct {
+	outcome struct {
 		arrived time.Duration
 		latency time.Duration
 		credit  float64
@@ -190,9 +190,9 @@
 // 1.
 func (r *Report) Credit(from, to time.Duration) float64 {
 	sum, n := 0.0, 0
-	for _, a := range r.answers {
-		if a.arrived >= from && a.arrived < to {
-			sum += a.credit
+	for _, o := range r.outcomes {
+		if o.arrived >= from && o.arrived < to {
+			sum += o.credit
 			n++
 		}
 	}
@@ -203,9 +203,9 @@
 // rejected or failed.
 func (r *Report) Unserved(from, to time.Duration) float64 {
 	unserved, n := 0.0, 0
-	for _, a := range r.answers {
-		if a.arrived >= from && a.arrived < to {
-			if n++; a.credit == 0 {
+	for _, o := range r.outcomes {
+		if o.arrived >= from && o.arrived < to {
+			if n++; o.credit == 0 {
 				unserved++
 			}
 		}
@@ -217,9 +217,9 @@
 // arrived in a period and were served.
 func (r *Report) Latency(q float64, from, to time.Duration) time.Duration {
 	var all []time.Duration
-	for _, a := range r.answers {
-		if a.arrived >= from && a.arrived < to && a.credit > 0 {
-			all = append(all, a.latency)
+	for _, o := range r.outcomes {
+		if o.arrived >= from && o.arrived < to && o.credit > 0 {
+			all = append(all, o.latency)
 		}
 	}
 	if len(all) == 0 {
@@ -258,7 +258,7 @@
 		return
 	}
 	r.done = true
-	m.report.answers = append(m.report.answers, answer{r.arrived.Sub(m.start), m.now.Sub(r.arrived), credit})
+	m.report.outcomes = append(m.report.outcomes, outcome{r.arrived.Sub(m.start), m.now.Sub(r.arrived), credit})
 }
 
 func region(i int) id.Region { return id.Region(fmt.Sprintf("region-%d", i)) }
