--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -29,8 +29,8 @@
 // testCase is a synthetic load with the example deployment and service that it
 // runs in.
 type testCase struct {
-	user, service string
-	load          replay.Load
+	example, service string
+	load             replay.Load
 }
 
 func testCases() map[string]testCase {
@@ -57,7 +57,7 @@
 func (tt *testCase) environment(t testing.TB) *replay.Environment {
 	t.Helper()
 	read := func(name string) []byte {
-		data, err := os.ReadFile(filepath.Join("../../examples", tt.user, name))
+		data, err := os.ReadFile(filepath.Join("../../examples", tt.example, name))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -302,7 +302,7 @@
 func (r *Report) WriteText(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d requests\n", r.Requests)
-	fmt.Fprintln(out, "policy\toverloads\trefused\tlate\tlost\thanded on\tmessages\tin use\twaiting p50\tp99\tp99.9\twhole p50\tp99\tp99.9\trecovered")
+	fmt.Fprintln(out, "policy\toverloads\trefused\tlate\tlost\tforwarded\tmessages\tin use\tqueue time p50\tp99\tp99.9\tlatency p50\tp99\tp99.9\trecovered")
 	for i := range r.Results {
 		v := &r.Results[i]
 		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f%%\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
