--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -78,9 +78,9 @@
 	exchanges := func(rate, size float64) (bytes, micros float64) {
 		return rate * l.at("between entries", quantityCallWire, "", size), rate * l.at("between entries", quantityCall, "", size)
 	}
-	sum := func(what string, built bool) func(bytes, micros float64) Sum {
+	sum := func(mechanism string, implemented bool) func(bytes, micros float64) Sum {
 		return func(bytes, micros float64) Sum {
-			return Sum{Mechanism: what, Implemented: built, Bytes: bytes, Micros: micros}
+			return Sum{Mechanism: mechanism, Implemented: implemented, Bytes: bytes, Micros: micros}
 		}
 	}
 	reportRate := func(holders float64) float64 { return reportsPerSecond * targetBuckets * holders / targetNodes }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -38,7 +38,7 @@
 	return Result{Series: s, Line: line, Target: m.Target, AtTarget: line.At(float64(m.Target))}, nil
 }
 
-// Print writes the result as a row of the Markdown table that Header begins.
+// Print writes the result as a row of the Markdown table that PrintHeader begins.
 func (r Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "| %s | %s | %s | %.4g | %.4g | %.4f | %.1f%% | %d | %.4g |\n",
 		r.Role, r.Quantity, r.Size, r.Line.Intercept, r.Line.Slope, r.Line.R2, r.Line.Residual*100, r.Target, r.AtTarget)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestMeasuredExtrapolatesToTarget(t *testing.T) {
+func TestRunExtrapolatesToTarget(t *testing.T) {
 	is := is.New(t)
 	r, err := capacity.Run(capacity.Measure{
 		Role: "r", Quantity: "q", Size: "s", Sizes: []int{1, 2, 3, 4, 5}, Target: 1000,
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -10,6 +10,10 @@
 // # Usage
 //
 //	for _, m := range capacity.Measures() {
-//		line, err := slope.Fit(m.Series().Points)
+//		result, err := capacity.Run(m)
+//		if err != nil {
+//			return err
+//		}
+//		result.Print(os.Stdout)
 //	}
 package capacity
--- a/internal/capacity/guard_test.go
+++ b/internal/capacity/guard_test.go
@@ -92,7 +92,7 @@
 	table := newMembershipTable("entry-1", currentEntries-1)
 	later := time.Now().Add(heartbeatAge)
 	heartbeat := size(table.HeartbeatTo("entry-2", later, 1, newOwn(ownUses))) + size(table.Answer(later, 1, newOwn(ownUses)))
-	notice := size(newNoticeBoard(1).All())
+	notice := size(newNoticeTable(1).All())
 	tests := map[string]struct{ perSecond, bound float64 }{
 		// Each entry sends two heartbeats per second to each other entry and
 		// answers two.
--- a/internal/capacity/notices.go
+++ b/internal/capacity/notices.go
@@ -21,7 +21,7 @@
 		{
 			Role: "notices", Quantity: "exchange of differing boards, both ways, B", Size: "notices", Sizes: sizes, Target: targetSites,
 			Run: func(n int) (float64, error) {
-				data, err := json.Marshal(newNoticeBoard(n).All())
+				data, err := json.Marshal(newNoticeTable(n).All())
 				return 2 * float64(len(data)), err
 			},
 		},
@@ -32,13 +32,13 @@
 		{
 			Role: "notices", Quantity: "digest for a comparison, processor us", Size: "notices", Sizes: []int{100, 200, 400, 800, 1600}, Target: targetSites,
 			Run: func(n int) (float64, error) {
-				board := newNoticeBoard(n)
-				return processorMicros(measuredComparisons, func(int) { _ = board.Digest() })
+				table := newNoticeTable(n)
+				return processorMicros(measuredComparisons, func(int) { _ = table.Digest() })
 			},
 		},
 		{
 			Role: "notices", Quantity: "board heap B", Size: "notices", Sizes: sizes, Target: targetSites,
-			Run: func(n int) (float64, error) { return heapBytes(func() any { return newNoticeBoard(n) }), nil },
+			Run: func(n int) (float64, error) { return heapBytes(func() any { return newNoticeTable(n) }), nil },
 		},
 		{
 			Role: "quarantine", Quantity: quantityFingerprints, Size: "fingerprints", Sizes: sizes, Target: 1000,
@@ -59,10 +59,10 @@
 }
 
 func noticesCost(n int) (float64, error) {
-	board := newNoticeBoard(n)
+	table := newNoticeTable(n)
 	var failed error
 	cost, err := processorMicros(measuredComparisons, func(int) {
-		data, err := json.Marshal(board.All())
+		data, err := json.Marshal(table.All())
 		if err != nil {
 			failed = err
 		}
@@ -70,7 +70,7 @@
 		if err := json.Unmarshal(data, &received); err != nil {
 			failed = err
 		}
-		board.Merge(received)
+		table.Merge(received)
 	})
 	if failed != nil {
 		return 0, failed
@@ -78,7 +78,7 @@
 	return cost, err
 }
 
-func newNoticeBoard(n int) *notices.Table {
+func newNoticeTable(n int) *notices.Table {
 	b := new(notices.Table)
 	now := time.Unix(1_796_000_000, 123_456_789).UTC()
 	for i := range n {
--- a/internal/capacity/replication.go
+++ b/internal/capacity/replication.go
@@ -18,7 +18,7 @@
 )
 
 // replicaMeasures returns the measures of replicating configuration changes with
-// package spread.
+// package replication.
 func replicaMeasures() []Measure {
 	blocks := []int{6_250, 12_500, 25_000, 50_000, 100_000}
 	return []Measure{
