--- a/internal/openloop/load.go
+++ b/internal/openloop/load.go
@@ -15,7 +15,7 @@
 	defaultInFlight   = 1000
 	maxLatency        = time.Hour
 	significantDigits = 3
-	rngStream         = 0x5ca1ab1e
+	rngStream         = 0x5ca1ab1e // PCG stream of the arrival times
 )
 
 type (
