--- a/internal/trial/system.go
+++ b/internal/trial/system.go
@@ -84,14 +84,14 @@
 
 // assignAddresses assigns free loopback ports to all entries.
 func (s *system) assignAddresses() error {
-	world := s.fleet.Deployment
-	block, err := ports.Reserve(portsPerEntry * len(world.Entries))
+	dep := s.fleet.Deployment
+	block, err := ports.Reserve(portsPerEntry * len(dep.Entries))
 	if err != nil {
 		return err
 	}
 	s.ports = block
-	for i := range world.Entries {
-		e := &world.Entries[i]
+	for i := range dep.Entries {
+		e := &dep.Entries[i]
 		first := portsPerEntry * i
 		e.Caller, e.Peer = block.Address(first), block.Address(first+1)
 		s.entries = append(s.entries, &runningEntry{entry: e, operator: block.Address(first + 2)})
@@ -102,13 +102,13 @@
 // placeAddresses registers the addresses of the store, the entries and the backend
 // servers with their zones in the simulated network.
 func (s *system) placeAddresses() {
-	world := s.fleet.Deployment
-	for _, r := range world.Regions {
-		if r.Name == world.StoreRegion {
+	dep := s.fleet.Deployment
+	for _, r := range dep.Regions {
+		if r.Name == dep.StoreRegion {
 			s.network.SetZone(s.fleet.Platform, r.Zones[0])
 		}
 	}
-	for _, e := range world.Entries {
+	for _, e := range dep.Entries {
 		s.network.SetZone(e.Caller, e.Zone)
 		s.network.SetZone(e.Peer, e.Zone)
 	}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -282,15 +282,15 @@
 }
 
 // Read waits for the interval and reads the next chunk.
-func (s *throttledBody) Read(p []byte) (int, error) {
-	if s.remaining == 0 {
+func (b *throttledBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	if !sleep(s.ctx, s.interval) {
-		return 0, s.ctx.Err()
+	if !sleep(b.ctx, b.interval) {
+		return 0, b.ctx.Err()
 	}
-	n := min(int64(len(p)), s.chunk, s.remaining)
+	n := min(int64(len(p)), b.chunk, b.remaining)
 	clear(p[:n])
-	s.remaining -= n
+	b.remaining -= n
 	return int(n), nil
 }
