--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -16,9 +16,9 @@
 	"github.com/shallotpier/shallotpier/pkg/result"
 )
 
-// Ways to answer a request; all but Whole are malformed or missing answers.
+// Ways to answer a request; all but Intact are malformed or missing answers.
 const (
-	// Intact sends a correct answer. It is the zero Answer.
+	// Intact sends a correct answer. It is the zero ResponseFault.
 	Intact ResponseFault = iota
 	// Truncated closes the connection before the end of the body that
 	// Content-Length announces.
@@ -30,7 +30,7 @@
 	// Unframed sends no Content-Length and closes the connection after the
 	// body.
 	Unframed
-	// WrongSendID sends an answer with the id of another send.
+	// WrongSendID sends an answer with the ID of another send.
 	WrongSendID
 	// Stalled stops before the end of the body that Content-Length announces and
 	// keeps the connection open.
@@ -59,7 +59,7 @@
 		Shed bool
 		// Crash selects requests that crash the server.
 		Crash func(*http.Request) bool
-		// Response selects how a request is answered; nil means Whole.
+		// Response selects how a request is answered; nil means Intact.
 		Response func(*http.Request) ResponseFault
 		// Health overrides the status of the health endpoint; 0 means the real
 		// status.
@@ -73,9 +73,9 @@
 
 	// Record counts what happened at a server.
 	Record struct {
-		// Started counts the requests whose header was received, by request id.
+		// Started counts the requests whose header was received, by request ID.
 		Started map[string]int
-		// Ran counts the requests that ran, by request id. A request counts as
+		// Ran counts the requests that ran, by request ID. A request counts as
 		// run once its complete body has been received.
 		Ran map[string]int
 		// Shed counts the requests that were shed.
@@ -175,8 +175,9 @@
 	s.faults = f
 }
 
-// StallConnections permanently stalls every nth of the open connections, in the order in
-// which they were accepted; 1 stalls all of them. Later connections work.
+// StallConnections permanently stalls every nth of the open connections, in the
+// order in which they were accepted; 1 stalls all of them. Later connections
+// work.
 func (s *Server) StallConnections(nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,7 +265,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.recordRun(r)
-	if !sleep(r.Context(), s.serviceTime(r.URL.Path)+faults.ExtraTime) {
+	if !sleep(r.Context(), s.runningTime(r.URL.Path)+faults.ExtraTime) {
 		panic(http.ErrAbortHandler)
 	}
 	answer := Intact
@@ -313,7 +314,7 @@
 	_ = s.Close()
 }
 
-func (s *Server) serviceTime(path string) time.Duration {
+func (s *Server) runningTime(path string) time.Duration {
 	longest, d := -1, time.Duration(0)
 	for prefix, v := range s.RunningTime {
 		if len(prefix) > longest && strings.HasPrefix(path, prefix) {
@@ -343,7 +344,7 @@
 	}
 }
 
-// text returns the body of an answer, one line with the request's id, the server's
+// text returns the body of an answer, one line with the request's ID, the server's
 // name and the size of the request's body.
 func (s *Server) text(r *http.Request, body int64) string {
 	return r.Header.Get(result.HeaderRequestID) + " " + string(s.Name) + " " + strconv.FormatInt(body, 10) + "\n"
