--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -36,7 +36,7 @@
 		Running int `json:"running"`
 		// Ran counts the requests that ran.
 		Ran int `json:"ran"`
-		// Twice counts the request ids that ran more than once.
+		// Twice counts the request IDs that ran more than once.
 		Twice int `json:"twice"`
 		// Overloads counts the requests that ran although all slots were in
 		// use.
@@ -49,7 +49,7 @@
 )
 
 // control serves /servers/{service}/{server}. GET returns the server's counts; Ran and
-// Twice include only request ids that start with the parameter prefix. PUT sets
+// Twice include only request IDs that start with the parameter prefix. PUT sets
 // the faults. PUT with an empty body to .../silence stalls the open connections,
 // and to .../stop stops the server.
 func (f *Fleet) control(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeCounts writes the server's counts; Ran and Twice include only request ids that
+// writeCounts writes the server's counts; Ran and Twice include only request IDs that
 // start with prefix.
 func writeCounts(w http.ResponseWriter, s *backend.Server, prefix string) {
 	record := s.Record()
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, unreadable(path, err)
 	}
-	spec, err := deployment.Parse(path, data)
+	dep, err := deployment.Parse(path, data)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Deployment: spec}
+	f := &Fleet{Deployment: dep}
 	for _, each := range files {
 		f.Files = append(f.Files, each.Parsed)
 	}
