--- a/internal/standin/wan/doc.go
+++ b/internal/standin/wan/doc.go
@@ -8,8 +8,8 @@
 //
 // # Usage
 //
-//	n := &wan.Network{World: spec}
+//	n := &wan.Network{Deployment: dep}
 //	defer n.Close()
-//	n.Place(server.Address, server.Zone)
+//	n.SetZone(server.Address, server.Zone)
 //	conn, err := n.Dial(ctx, "east-kakheti-1", server.Address)
 package wan
--- a/internal/standin/wan/network.go
+++ b/internal/standin/wan/network.go
@@ -60,7 +60,7 @@
 	n.zones[address] = zone
 }
 
-// Dial connects from a zone to an address that was assigned to a zone by Place.
+// Dial connects from a zone to an address that was assigned to a zone by SetZone.
 func (n *Network) Dial(ctx context.Context, from id.Zone, to netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
 	zone, ok := n.zones[to]
@@ -145,7 +145,7 @@
 	}
 	local := netip.MustParseAddrPort(client.LocalAddr().String())
 	select {
-	case near = <-n.rendezvous(local):
+	case near = <-n.pairChannel(local):
 		return client, near, nil
 	case <-ctx.Done():
 		client.Close()
@@ -178,14 +178,14 @@
 			return
 		}
 		remote := netip.MustParseAddrPort(c.RemoteAddr().String())
-		n.rendezvous(remote) <- c
+		n.pairChannel(remote) <- c
 	}
 }
 
-// rendezvous returns the channel that passes the accepted end of a connection from
+// pairChannel returns the channel that passes the accepted end of a connection from
 // accept to pair, by the address of the dialled end. Whichever is called first
 // creates the channel.
-func (n *Network) rendezvous(local netip.AddrPort) chan net.Conn {
+func (n *Network) pairChannel(local netip.AddrPort) chan net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ch, ok := n.pairs[local]
