--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -26,8 +26,8 @@
 		// Health overrides the status of the health endpoint; 0 means the real
 		// status.
 		Health int `json:"health"`
-		// Slower is added to the running time of each request.
-		Slower unit.Duration `json:"slower"`
+		// ExtraTime is added to the running time of each request.
+		ExtraTime unit.Duration `json:"slower"`
 	}
 
 	// Counts holds the counts of a simulated backend server, read over HTTP.
@@ -108,7 +108,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, ExtraTime: faults.Slower.Std()}
+	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, ExtraTime: faults.ExtraTime.Std()}
 	if faults.CrashPath != "" {
 		to.Crash = func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, faults.CrashPath) }
 	}
