--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -26,8 +26,8 @@
 		// Health overrides the status of the health endpoint; 0 means the real
 		// status.
 		Health int `json:"health"`
-		// Slower is added to the running time of each request.
-		Slower unit.Duration `json:"slower"`
+		// ExtraTime is added to the running time of each request.
+		ExtraTime unit.Duration `json:"slower"`
 	}
 
 	// Counts holds the counts of a simulated backend server, read over HTTP.
@@ -36,7 +36,7 @@
 		Running int `json:"running"`
 		// Ran counts the requests that ran.
 		Ran int `json:"ran"`
-		// Twice counts the request ids that ran more than once.
+		// Twice counts the request IDs that ran more than once.
 		Twice int `json:"twice"`
 		// Overloads counts the requests that ran although all slots were in
 		// use.
@@ -49,7 +49,7 @@
 )
 
 // control serves /servers/{service}/{server}. GET returns the server's counts; Ran and
-// Twice include only request ids that start with the parameter prefix. PUT sets
+// Twice include only request IDs that start with the parameter prefix. PUT sets
 // the faults. PUT with an empty body to .../silence stalls the open connections,
 // and to .../stop stops the server.
 func (f *Fleet) control(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeCounts writes the server's counts; Ran and Twice include only request ids that
+// writeCounts writes the server's counts; Ran and Twice include only request IDs that
 // start with prefix.
 func writeCounts(w http.ResponseWriter, s *backend.Server, prefix string) {
 	record := s.Record()
@@ -108,7 +108,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, ExtraTime: faults.Slower.Std()}
+	to := backend.Faults{Shed: faults.Shed, Health: faults.Health, ExtraTime: faults.ExtraTime.Std()}
 	if faults.CrashPath != "" {
 		to.Crash = func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, faults.CrashPath) }
 	}
