--- a/internal/standin/backend/answer.go
+++ b/internal/standin/backend/answer.go
@@ -14,11 +14,11 @@
 
 // answer answers a request that ran. The query parameter "size" adds that many
 // bytes to the body, and "status" sets the status. Trailers of the request are
-// echoed.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, body int64, how ResponseFault) {
+// echoed. end records that the request is no longer running.
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, body int64, how ResponseFault, end func()) {
 	text := s.text(r, body)
 	if how != Intact {
-		s.sendMalformed(w, r, text, how)
+		s.sendMalformed(w, r, text, how, end)
 		return
 	}
 	for k := range r.Trailer {
@@ -40,8 +40,10 @@
 	}
 }
 
-// sendMalformed takes over the connection and answers with a fault.
-func (s *Server) sendMalformed(w http.ResponseWriter, r *http.Request, text string, how ResponseFault) {
+// sendMalformed takes over the connection and answers with a fault. It calls end
+// before it closes a connection, because a client may take the close as proof that
+// the request is no longer running.
+func (s *Server) sendMalformed(w http.ResponseWriter, r *http.Request, text string, how ResponseFault, end func()) {
 	c, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -62,6 +64,7 @@
 	}
 	_ = buf.Flush()
 	if how == Truncated || how == Unframed || how == NoAnswer {
+		end()
 		_ = c.Close()
 		return
 	}
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -259,7 +259,8 @@
 		s.crash()
 		panic(http.ErrAbortHandler)
 	}
-	defer s.end()
+	end := sync.OnceFunc(s.end)
+	defer end()
 	body, err := io.Copy(io.Discard, r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -272,7 +273,7 @@
 	if faults.Response != nil {
 		answer = faults.Response(r)
 	}
-	s.answer(w, r, body, answer)
+	s.answer(w, r, body, answer, end)
 }
 
 func (s *Server) begin(r *http.Request) (Faults, bool) {
