--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -107,8 +107,8 @@
 		Reason Reason
 		// Owner is the highest ranked eligible server, nil if there is none.
 		Owner *roster.Member
-		// OwnerBusy is the estimated number of requests of all entries at the owner.
-		OwnerBusy float64
+		// OwnerRequests is the estimated number of requests of all entries at the owner.
+		OwnerRequests float64
 	}
 
 	// Request holds what the choice depends on.
@@ -237,8 +237,8 @@
 	if first == nil {
 		return Choice{Reason: NoServer}
 	}
-	c := Choice{Server: first, Reason: Owner, Owner: first, OwnerBusy: first.Busy(now)}
-	load := c.OwnerBusy / float64(first.Slots)
+	c := Choice{Server: first, Reason: Owner, Owner: first, OwnerRequests: first.EstimatedRequests(now)}
+	load := c.OwnerRequests / float64(first.Slots)
 	if load < 1 {
 		return c
 	}
@@ -289,7 +289,7 @@
 		if m == nil {
 			continue
 		}
-		load := m.Busy(now) / float64(m.Slots)
+		load := m.EstimatedRequests(now) / float64(m.Slots)
 		if load < least && !m.Outlier() && d.isNear(m, req) && eligible(now, m, req, skipped) {
 			found, least = m, load
 		}
@@ -311,7 +311,7 @@
 		if top.member != nil && !c.before(&top) {
 			continue
 		}
-		if m.Busy(now) >= limit*float64(m.Slots) || !eligible(now, m, req, skipped) {
+		if m.EstimatedRequests(now) >= limit*float64(m.Slots) || !eligible(now, m, req, skipped) {
 			continue
 		}
 		top = c
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -158,7 +158,7 @@
 			c.refuse(failed)
 			return
 		}
-		c.busy, c.slots = m.Busy(time.Now()), m.Slots
+		c.busy, c.slots = m.EstimatedRequests(time.Now()), m.Slots
 		rep, code := c.send(m)
 		if code == 0 {
 			c.writeAnswer(rep)
@@ -479,7 +479,7 @@
 		attrs = append(attrs, slog.String("route", c.route.Name), slog.Duration("left", time.Until(c.deadline)))
 	}
 	if owner := c.choice.Owner; owner != nil {
-		attrs = append(attrs, slog.String("owner", string(owner.Name)), slog.Float64("ownerBusy", math.Round(10*c.choice.OwnerBusy)/10))
+		attrs = append(attrs, slog.String("owner", string(owner.Name)), slog.Float64("ownerBusy", math.Round(10*c.choice.OwnerRequests)/10))
 	}
 	if c.choice.Reason != "" {
 		attrs = append(attrs, slog.String("service", string(c.service)), slog.String("object", strconv.FormatUint(c.key, 16)),
--- a/internal/forward/handler_test.go
+++ b/internal/forward/handler_test.go
@@ -149,7 +149,7 @@
 	f := &fixture{backend: b, roster: r}
 	f.handler = &forward.Handler{
 		Config: func() *forward.Config { return config }, Dispatcher: &dispatch.Dispatcher{Roster: r},
-		Upstream:    &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: time.Second, NonIdempotentIdleTimeout: time.Second, RequestID: "X-Id"},
+		Upstream:    &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: time.Second, NonIdempotentIdleTimeout: time.Second, RequestIDHeader: "X-Id"},
 		Quarantine:  &quarantine.List{Instance: "e-1", Tolerated: 2},
 		RetryLimits: func() forward.RetryLimits { return forward.RetryLimits{Allowance: 10} },
 		Leaving:     func() bool { return false },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -168,7 +168,7 @@
 // New returns a Node without configuration and servers.
 func New(o Options) *Node {
 	n := &Node{options: o, started: time.Now(), Roster: &roster.Roster{Grace: o.MissingServerGrace, Log: o.Log}}
-	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestID: o.Headers.RequestID}
+	n.upstream = &upstream.Client{ConnectTimeout: connectTimeout, IdleTimeout: idleTimeout, NonIdempotentIdleTimeout: nonIdempotentIdleTimeout, RequestIDHeader: o.Headers.RequestID}
 	n.Quarantine = &quarantine.List{Instance: o.Self.Instance, Tolerated: toleratedCrashes}
 	n.Heartbeats = &heartbeat.Detector{Self: n.Self, Interval: o.HeartbeatInterval, Timeout: o.HeartbeatTimeout, OnUpdate: n.onUpdate, Log: o.Log}
 	n.dispatcher = &dispatch.Dispatcher{Roster: n.Roster, Region: o.Self.Region}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -39,7 +39,7 @@
 }
 
 func (n *Node) serverState(now time.Time, m *roster.Member, evacuated []id.Zone) entryview.Server {
-	s := entryview.Server{Name: m.Name, Service: m.Service, Zone: m.Zone, Slots: m.Slots, Busy: m.Busy(now), Own: m.InFlight()}
+	s := entryview.Server{Name: m.Name, Service: m.Service, Zone: m.Zone, Slots: m.Slots, Busy: m.EstimatedRequests(now), Own: m.InFlight()}
 	switch {
 	case m.Leaving:
 		s.State = entryview.Leaving
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -115,9 +115,9 @@
 	return max(m.state.coldUntil.Sub(now), 0)
 }
 
-// Busy estimates the number of requests of all entries at the server, from its last
+// EstimatedRequests estimates the number of requests of all entries at the server, from its last
 // report, this entry's own count, and the mean load of its service.
-func (m *Member) Busy(now time.Time) float64 {
+func (m *Member) EstimatedRequests(now time.Time) float64 {
 	load, work := m.baseline.mean(now)
 	m.state.mu.Lock()
 	defer m.state.mu.Unlock()
@@ -126,7 +126,7 @@
 
 // ExpectedLatency estimates the latency of one more request, 0 if nothing is known.
 func (m *Member) ExpectedLatency(now time.Time) time.Duration {
-	return m.baseline.expected(m.Busy(now) / float64(m.Slots))
+	return m.baseline.expected(m.EstimatedRequests(now) / float64(m.Slots))
 }
 
 // loadHalfLife returns the half-life of the reported number of other entries'
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -178,11 +178,11 @@
 	m := r.View().Members(svc)[0]
 	m.Begin(start)
 	m.Begin(start)
-	is.Equal(m.Busy(start), 2.0)
+	is.Equal(m.EstimatedRequests(start), 2.0)
 	// Six run and two wait, of which this entry has two.
 	m.End(start, roster.Outcome{Event: health.Answered, Load: &roster.Load{Running: 6, Waiting: 2}})
-	is.Equal(m.Busy(start), 1.0+6.0)
-	is.True(m.Busy(start.Add(5*time.Second)) < 1.1) // the report has decayed
+	is.Equal(m.EstimatedRequests(start), 1.0+6.0)
+	is.True(m.EstimatedRequests(start.Add(5*time.Second)) < 1.1) // the report has decayed
 }
 
 // The load of a server without reports is estimated from the reports of the other
@@ -215,7 +215,7 @@
 			members[0].Begin(start)
 			members[0].End(start, tt.outcome)
 			now := start.Add(tt.at)
-			is.True(math.Abs(members[1].Busy(now)-tt.busy) < 0.01)
+			is.True(math.Abs(members[1].EstimatedRequests(now)-tt.busy) < 0.01)
 			is.Equal(members[1].ExpectedLatency(now).Round(time.Millisecond), tt.expected)
 		})
 	}
@@ -232,7 +232,7 @@
 	m.End(start, roster.Outcome{Event: health.Answered, Load: &roster.Load{}, Latency: 100 * time.Millisecond})
 	m.Begin(start)
 	m.End(start, roster.Outcome{Event: health.TimedOut, Latency: 300 * time.Millisecond})
-	is.Equal(math.Round(m.Busy(start)), 17.0) // 3 times 6 slots, minus the request that ended
+	is.Equal(math.Round(m.EstimatedRequests(start)), 17.0) // 3 times 6 slots, minus the request that ended
 }
 
 func TestEntriesTogetherKeepColdRate(t *testing.T) {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -79,9 +79,9 @@
 		// connection and the entry has not noticed, the outcome of the request is
 		// unknown.
 		NonIdempotentIdleTimeout time.Duration
-		// RequestID is the name of the header that holds the request's id, in
+		// RequestIDHeader is the name of the header that holds the request's id, in
 		// requests and in answers.
-		RequestID string
+		RequestIDHeader string
 
 		mu   sync.Mutex
 		idle map[string][]*conn
@@ -376,7 +376,7 @@
 		if err != nil {
 			return err
 		}
-		got := resp.Header.Get(x.client.RequestID)
+		got := resp.Header.Get(x.client.RequestIDHeader)
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return fmt.Errorf("%w: switching protocols is not supported", errInvalidAnswer)
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -66,7 +66,7 @@
 }
 
 func newClient() *upstream.Client {
-	return &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second, NonIdempotentIdleTimeout: time.Second, RequestID: idHeader}
+	return &upstream.Client{ConnectTimeout: time.Second, IdleTimeout: 5 * time.Second, NonIdempotentIdleTimeout: time.Second, RequestIDHeader: idHeader}
 }
 
 func send(ctx context.Context, c *upstream.Client, addr, reqID, body string) (string, error) {
