--- a/internal/crashreports/exchange.go
+++ b/internal/crashreports/exchange.go
@@ -132,14 +132,14 @@
 func decode(params json.RawMessage) (*message, error) {
 	m := new(message)
 	if err := json.Unmarshal(params, m); err != nil {
-		return nil, eris.Wrap(err, "decode crash reports")
+		return nil, eris.Wrap(err, "decode sightings")
 	}
 	if len(m.Reports) > maxReports || len(m.ForwardTo) > maxReports {
-		return nil, eris.Errorf("message has %d crash reports and %d entries, want at most %d", len(m.Reports), len(m.ForwardTo), maxReports)
+		return nil, eris.Errorf("message has %d sightings and %d entries, want at most %d", len(m.Reports), len(m.ForwardTo), maxReports)
 	}
 	for i := range m.Reports {
 		if r := &m.Reports[i]; r.At.IsZero() || r.Instance == "" || !r.Lifted && r.Send == "" || len(r.Send) > maxSendID {
-			return nil, eris.Errorf("crash report %d lacks a required field or has too long a send ID", i)
+			return nil, eris.Errorf("sighting %d lacks a field", i)
 		}
 	}
 	return m, nil
--- a/internal/node/snapshot.go
+++ b/internal/node/snapshot.go
@@ -161,7 +161,7 @@
 func (n *Node) answerSnapshot(_ context.Context, _ peer.Sender, params json.RawMessage) (any, error) {
 	var req snapshotRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, eris.Wrap(err, "decode snapshot request")
+		return nil, eris.Wrap(err, "decode what is lacking")
 	}
 	s := &snapshot{Entries: append(n.Heartbeats.KnownPeers(), n.options.Self.Peers)}
 	n.ifNewer(&req, follow.Configuration, func(v store.Version) {
--- a/internal/slots/wire/wire.go
+++ b/internal/slots/wire/wire.go
@@ -119,21 +119,21 @@
 func (r *Report) Check() error {
 	switch {
 	case r.Service == "" || r.Zone == "":
-		return eris.New("report has no service or no zone")
+		return eris.New("report names no bucket")
 	case r.Seq == 0:
-		return eris.New("report has no sequence number")
+		return eris.New("report has no number")
 	case !validCount(r.Want) || !validCount(r.Waiting):
-		return eris.Errorf("report with invalid demand: want %d, waiting %d", r.Want, r.Waiting)
+		return eris.Errorf("report wants %d, %d of them for waiting requests", r.Want, r.Waiting)
 	}
 	seen := map[id.Server]bool{}
 	for i := range r.Servers {
 		h := &r.Servers[i]
 		if h.Server == "" || seen[h.Server] {
-			return eris.Errorf("report lists server %q twice or with an empty name", h.Server)
+			return eris.Errorf("report names server %q twice or not at all", h.Server)
 		}
 		seen[h.Server] = true
 		if !validCount(h.Claimed) || !validCount(h.Used) || h.Seen > MaxCount*MaxCount || h.Returned > h.Seen+uint64(h.Claimed) {
-			return eris.Errorf("report with invalid counts of server %q: claimed %d, seen %d, returned %d, used %d", h.Server, h.Claimed, h.Seen, h.Returned, h.Used)
+			return eris.Errorf("report on server %q: claimed %d, seen %d, returned %d, used %d", h.Server, h.Claimed, h.Seen, h.Returned, h.Used)
 		}
 	}
 	return nil
@@ -144,21 +144,21 @@
 func (g *Grant) Check() error {
 	switch {
 	case g.Service == "" || g.Zone == "":
-		return eris.New("grant has no service or no zone")
+		return eris.New("grant names no bucket")
 	case g.Term == 0:
 		return eris.New("grant has no term")
 	case !validCount(g.Recall) || !validCount(g.Owed) || !validCount(g.Spare):
-		return eris.Errorf("grant with invalid counts: recall %d, owed %d, spare %d", g.Recall, g.Owed, g.Spare)
+		return eris.Errorf("grant recalls %d, owed %d, spare %d", g.Recall, g.Owed, g.Spare)
 	}
 	seen := map[id.Server]bool{}
 	for i := range g.Servers {
 		v := &g.Servers[i]
 		if v.Server == "" || seen[v.Server] {
-			return eris.Errorf("grant lists server %q twice or with an empty name", v.Server)
+			return eris.Errorf("grant names server %q twice or not at all", v.Server)
 		}
 		seen[v.Server] = true
 		if !validCount(v.Accepted) || v.Given > MaxCount*MaxCount {
-			return eris.Errorf("grant with invalid counts of server %q: accepted %d, given %d", v.Server, v.Accepted, v.Given)
+			return eris.Errorf("grant of server %q: accepted %d, given %d", v.Server, v.Accepted, v.Given)
 		}
 	}
 	return nil
