--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -9,7 +9,7 @@
 // an epoch or whose digest differs fetches a snapshot. Replicating inputs in a
 // serial order and comparing checksums of the result follows "Scalable
 // Replay-Based Replication For Fast Databases", sections 4.1 and 4.4;
-// docs/design/spread.md has the measurement behind the choice.
+// docs/design/replication.md has the measurement behind the choice.
 //
 // Within an availability zone, epochs are forwarded along a [Tree] that every
 // member computes from the same member list; its roots are the zone's relays,
